--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -331,7 +331,7 @@
 	TicketExpired,
 	IssuerUnreachable,
 	Draining,
-	Stale ///< The node does not know the newest routes and endpoints.
+	RoutesStale ///< The node does not know the newest routes and endpoints.
 };
 
 /// Final state of a request.
@@ -793,12 +793,12 @@
 struct EndpointState
 {
 	Endpoint endpoint;
-	std::int64_t own = 0;      ///< Calls of this node in flight.
-	double others = 0;         ///< Calls of other nodes, smoothed over reports.
-	double ownWork = 0;        ///< Predicted microseconds of this node's calls in flight.
-	double ownSmoothed = 0;    ///< Own calls, smoothed over about the lag of the reports.
-	std::int64_t failures = 0; ///< Failures in a row.
-	Micros asideUntil = 0;     ///< Set aside until then; afterwards one probe at a time.
+	std::int64_t ownInFlight = 0;         ///< Calls of this node in flight.
+	double othersInFlight = 0;            ///< Calls of other nodes, smoothed over reports.
+	double ownWorkUs = 0;                 ///< Predicted microseconds of this node's calls in flight.
+	double smoothedOwnInFlight = 0;       ///< Own calls, smoothed over about the lag of the reports.
+	std::int64_t consecutiveFailures = 0; ///< Failures in a row.
+	Micros ejectedUntil = 0;              ///< Set aside until then; afterwards one probe at a time.
 	bool probing = false;
 	double slowness = 1; ///< Smoothed ratio of measured to predicted service time.
 	bool listed = true;  ///< On the newest VM list.
@@ -807,7 +807,7 @@
 	[[nodiscard]] double load() const;
 
 	/// @returns Whether new work may go to it, apart from room.
-	[[nodiscard]] bool usable(Micros _now) const;
+	[[nodiscard]] bool isUsable(Micros _now) const;
 };
 
 /// Chooses the part of each pool that a node uses, by rendezvous hashing: a node or an endpoint that comes or goes
@@ -815,7 +815,8 @@
 /// @param[in] _node Address of the node.
 /// @param[in] _endpoints All endpoints.
 /// @param[in] _perPool Most endpoints of one pool.
-std::vector<Endpoint> subsetOf(const std::string& _node, const std::vector<Endpoint>& _endpoints, std::size_t _perPool);
+std::vector<Endpoint> selectSubset(const std::string& _node, const std::vector<Endpoint>& _endpoints,
+								   std::size_t _perPool);
 
 // ---------------------------------------------------------------------------------------------------------------
 // Placement policies: plug-ins that register themselves.
@@ -828,7 +829,7 @@
 	const std::vector<EndpointState*>& usable;     ///< These and the endpoints without room.
 	std::uint64_t prefix = 0;                      ///< Hash of the prompt's prefix, 0 for none.
 	std::minstd_rand& random;                      ///< Seeded generator of the dispatcher.
-	std::size_t& turn;                             ///< Counter of the pool, for policies that take turns.
+	std::size_t& roundRobinCounter;                ///< Counter of the pool, for policies that take turns.
 	double meanLoad = 0;                           ///< Mean load of the usable endpoints.
 };
 
@@ -841,19 +842,19 @@
 
 /// Another endpoint would be better and has no room: let calls for which there is a good place go first, and send this
 /// one here when there are none.
-struct PlaceReluctantly
+struct PlaceFallback
 {
 	EndpointState* endpoint = nullptr;
-	bool operator==(const PlaceReluctantly&) const = default;
+	bool operator==(const PlaceFallback&) const = default;
 };
 
 /// No endpoint has room.
-struct PlaceNowhere
+struct PlaceNone
 {
-	bool operator==(const PlaceNowhere&) const = default;
+	bool operator==(const PlaceNone&) const = default;
 };
 
-using Placement = std::variant<PlaceNowhere, PlaceReluctantly, PlaceAt>;
+using Placement = std::variant<PlaceNone, PlaceFallback, PlaceAt>;
 
 /// A named way to choose among endpoints.
 struct PlacementPolicy
@@ -891,9 +892,9 @@
 	bool repeatable = true; ///< The caller's word; a stage's row can only make it stricter.
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
-	std::uint64_t prefix = 0;    ///< Hash of the prompt's prefix, 0 for none.
-	bool repeat = false;         ///< Its first attempt repeats earlier work, and is paid for as a retry.
-	std::string nearDomain = {}; ///< Failure domain that its endpoint should be in, empty when it does not matter.
+	std::uint64_t prefix = 0;         ///< Hash of the prompt's prefix, 0 for none.
+	bool isRetry = false;             ///< Its first attempt repeats earlier work, and is paid for as a retry.
+	std::string preferredDomain = {}; ///< Failure domain that its endpoint should be in, empty when it does not matter.
 	bool operator==(const RequestSpec&) const = default;
 };
 
@@ -907,8 +908,8 @@
 	StageKind kind = StageKind::Service;
 	std::string endpoint;
 	std::string address;
-	Micros giveUpAt = 0;
-	bool once = false; ///< Must not be sent a second time, by any layer.
+	Micros deadline = 0;
+	bool atMostOnce = false; ///< Must not be sent a second time, by any layer.
 	bool operator==(const StartAttempt&) const = default;
 };
 
@@ -950,12 +951,12 @@
 };
 
 /// Bytes were sent and no whole answer came back.
-struct AttemptCut
+struct AttemptInterrupted
 {
-	bool operator==(const AttemptCut&) const = default;
+	bool operator==(const AttemptInterrupted&) const = default;
 };
 
-using AttemptEnd = std::variant<AttemptAnswered, AttemptNotSent, AttemptRefused, AttemptCut>;
+using AttemptEnd = std::variant<AttemptAnswered, AttemptNotSent, AttemptRefused, AttemptInterrupted>;
 
 /// How requests that wait for a pool are ordered.
 enum class Ordering
@@ -969,20 +970,20 @@
 {
 	std::string placement = "affinity_gated";
 	Ordering ordering = Ordering::DeadlineFair;
-	bool admitByDeadline = true;     ///< Refuse what is predicted to be late.
-	bool dropDoomed = true;          ///< Stop work that can no longer finish in time.
-	bool setAside = true;            ///< Keep failing and slow endpoints out.
-	double urgentReserve = 0.1;      ///< Share of a pool's slots that only urgent pipelines may use.
-	double retryShare = 0.1;         ///< Retries earned by each first attempt.
-	double retryBurst = 20;          ///< Most retries saved up, for each pool.
-	std::int64_t spareConnects = 0;  ///< Connections that may fail to open beyond a stage's attempts.
-	double slotsFactor = 1.0;        ///< Calls sent to an endpoint, as a multiple of its slots.
-	double lateMargin = 1.5;         ///< Deviations added to a predicted service time.
-	std::size_t window = 24;         ///< Waiting requests that are looked at for one with a good place.
-	std::size_t queueLimit = 20'000; ///< Most requests waiting in one pool.
-	std::int64_t setAsideAfter = 3;  ///< Failures in a row.
-	Micros setAsideFor = 2 * kSecond;
-	double setAsideShare = 0.34; ///< Largest share of a pool that may be set aside.
+	bool admitByDeadline = true;         ///< Refuse what is predicted to be late.
+	bool dropInfeasible = true;          ///< Stop work that can no longer finish in time.
+	bool ejectOutliers = true;           ///< Keep failing and slow endpoints out.
+	double urgentReserve = 0.1;          ///< Share of a pool's slots that only urgent pipelines may use.
+	double retryShare = 0.1;             ///< Retries earned by each first attempt.
+	double retryBurst = 20;              ///< Most retries saved up, for each pool.
+	std::int64_t maxExtraConnects = 0;   ///< Connections that may fail to open beyond a stage's attempts.
+	double slotsFactor = 1.0;            ///< Calls sent to an endpoint, as a multiple of its slots.
+	double marginDeviations = 1.5;       ///< Deviations added to a predicted service time.
+	std::size_t lookahead = 24;          ///< Waiting requests that are looked at for one with a good place.
+	std::size_t queueLimit = 20'000;     ///< Most requests waiting in one pool.
+	std::int64_t ejectAfterFailures = 3; ///< Failures in a row.
+	Micros ejectionDuration = 2 * kSecond;
+	double maxEjectedShare = 0.34; ///< Largest share of a pool that may be set aside.
 	std::uint64_t seed = 1;
 	bool operator==(const DispatcherConfig&) const = default;
 };
@@ -1022,7 +1023,7 @@
 	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
 
 	/// Tells how many nodes use each endpoint, this one among them; one until told.
-	void setNodes(std::size_t _nodes);
+	void setNodeCount(std::size_t _nodes);
 
 	/// Sets this node's share of a workspace's limit.
 	/// @param[in] _inFlight Most requests in flight on this node; negative for no limit.
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -239,7 +239,7 @@
 			this->learnLeaving(endpoint.id, true);
 		}
 	}
-	std::vector<Endpoint> used = subsetOf(this->self, _list->endpoints, this->endpointsPerPool);
+	std::vector<Endpoint> used = selectSubset(this->self, _list->endpoints, this->endpointsPerPool);
 	if (used != this->endpointList)
 	{
 		this->endpointList = std::move(used);
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -6,7 +6,7 @@
 /// @file
 /// The dispatcher: takes a request through its stages, one attempt at a time.
 
-#include "endpoint_book.h"
+#include "endpoint_registry.h"
 #include "pool_queue.h"
 #include "predictor.h"
 #include "retry_budget.h"
@@ -23,7 +23,7 @@
 
 constexpr Micros kRetryAfterMin = 200 * kMillisecond;
 constexpr Micros kRetryAfterMax = 30 * kSecond;
-constexpr Micros kNoEndpointRetry = 1 * kSecond;
+constexpr Micros kNoEndpointRetryAfter = 1 * kSecond;
 
 /// Where a request is between two events.
 enum class Phase
@@ -33,7 +33,7 @@
 };
 
 /// A request in flight.
-struct Flight
+struct ActiveRequest
 {
 	RequestSpec spec;
 	PipelineRow pipeline;
@@ -41,21 +41,21 @@
 	double weight = 1;
 	std::size_t stageIndex = 0;
 	std::int64_t attemptsMade = 0;
-	std::int64_t connectsFailed = 0; ///< Attempts of the stage that did not reach an endpoint.
+	std::int64_t failedConnects = 0; ///< Attempts of the stage that did not reach an endpoint.
 	Phase phase = Phase::Waiting;
-	Waiting waiting;
+	QueuedRequest queued;
 	std::uint64_t attempt = 0;
 	std::string endpoint;
-	std::string avoid; ///< Endpoint that failed the stage last.
+	std::string avoidEndpoint; ///< Endpoint that failed the stage last.
 	Micros startedAt = 0;
-	double predicted = 0;
-	bool begun = false;     ///< Bytes of some stage were sent.
-	bool onceBegun = false; ///< Bytes of a stage that may not be repeated were sent.
+	double predictedUs = 0;
+	bool anySent = false;        ///< Bytes of some stage were sent.
+	bool atMostOnceSent = false; ///< Bytes of a stage that may not be repeated were sent.
 };
 
-Micros clampRetryAfter(double _wait)
+Micros clampRetryAfter(double _waitUs)
 {
-	return std::clamp(static_cast<Micros>(_wait), kRetryAfterMin, kRetryAfterMax);
+	return std::clamp(static_cast<Micros>(_waitUs), kRetryAfterMin, kRetryAfterMax);
 }
 
 } // namespace
@@ -63,51 +63,51 @@
 /// Everything the dispatcher knows, and the steps it takes.
 struct Dispatcher::State
 {
-	explicit State(const DispatcherConfig& _config) : config(_config), book(_config)
+	explicit State(const DispatcherConfig& _config) : config(_config), registry(_config)
 	{
 	}
 
 	DispatcherConfig config;
 	std::shared_ptr<const Table> table = std::make_shared<Table>();
-	EndpointBook book;
+	EndpointRegistry registry;
 	Predictor predictor;
 	std::map<std::string, RetryBudget> budgets; ///< By pool.
 	DispatcherCounters counters;
-	std::unordered_map<std::uint64_t, Flight> flights;
+	std::unordered_map<std::uint64_t, ActiveRequest> activeRequests;
 	std::unordered_map<std::uint64_t, std::uint64_t> requestOfAttempt;
 	std::set<std::pair<Micros, std::uint64_t>> deadlines;
 	std::unordered_map<std::string, PoolQueue> queues;
 	std::set<std::string> urgentPools; ///< Pools that urgent pipelines use.
-	std::map<std::string, std::int64_t> workspaceFlights;
+	std::map<std::string, std::int64_t> inFlightByWorkspace;
 	std::map<std::string, std::int64_t> shares;
 	std::uint64_t lastAttempt = 0;
 	bool draining = false;
 
 	void useTable(std::shared_ptr<const Table> _table);
-	std::optional<Outcome> refusalOf(const RequestSpec& _request, Flight& _flight, Micros _now);
-	std::optional<Outcome> limitRefusal(const RequestSpec& _request) const;
-	std::optional<Outcome> feasibilityRefusal(const Flight& _flight, Micros _now);
-	bool resolveStages(Flight& _flight) const;
+	std::optional<Outcome> checkAdmission(const RequestSpec& _request, ActiveRequest& _active, Micros _now);
+	std::optional<Outcome> checkWorkspaceLimit(const RequestSpec& _request) const;
+	std::optional<Outcome> checkFeasibility(const ActiveRequest& _active, Micros _now);
+	bool resolveStages(ActiveRequest& _active) const;
 	PoolQueue& queue(const std::string& _pool);
 	RetryBudget& budget(const std::string& _pool);
-	void admit(const RequestSpec& _request, Flight _flight, Micros _now, Actions& _actions);
-	double queueWait(const Flight& _flight, const std::string& _pool, Micros _now);
-	double serviceFrom(const Flight& _flight, std::size_t _stage, double _deviations) const;
-	bool isOnce(const Flight& _flight) const;
-	bool mayUse(const std::string& _pool, bool _urgent, Micros _now) const;
-
-	void enqueue(Flight& _flight);
-	void pump(const std::string& _pool, Micros _now, Actions& _actions);
-	bool stopDoomed(const std::vector<Waiting>& _window, Micros _now, Actions& _actions);
+	void admit(const RequestSpec& _request, ActiveRequest _active, Micros _now, Actions& _actions);
+	double queueWaitUs(const ActiveRequest& _active, const std::string& _pool, Micros _now);
+	double remainingServiceUs(const ActiveRequest& _active, std::size_t _stage, double _deviations) const;
+	bool isAtMostOnce(const ActiveRequest& _active) const;
+	bool mayStart(const std::string& _pool, bool _urgent, Micros _now) const;
+
+	void enqueue(ActiveRequest& _active);
+	void startQueued(const std::string& _pool, Micros _now, Actions& _actions);
+	bool abortInfeasible(const std::vector<QueuedRequest>& _window, Micros _now, Actions& _actions);
 	bool startNext(const std::string& _pool, Micros _now, Actions& _actions);
-	void start(Flight& _flight, EndpointState& _endpoint, Micros _now, Actions& _actions);
+	void start(ActiveRequest& _active, EndpointState& _endpoint, Micros _now, Actions& _actions);
 	void finish(std::uint64_t _request, Outcome _outcome, Actions& _actions);
-	Outcome givenUp(const Flight& _flight, Reason _reason) const;
-	void stopFlight(std::uint64_t _request, Reason _reason, Micros _now, Actions& _actions);
-	void releaseAttempt(Flight& _flight);
-	void answered(Flight& _flight, Micros _now, Actions& _actions);
-	void retryOrGiveUp(Flight& _flight, bool _sent, Micros _now, Actions& _actions);
-	void reconnectOrGiveUp(Flight& _flight, Micros _now, Actions& _actions);
+	Outcome failureOutcome(const ActiveRequest& _active, Reason _reason) const;
+	void abortRequest(std::uint64_t _request, Reason _reason, Micros _now, Actions& _actions);
+	void releaseAttempt(ActiveRequest& _active);
+	void completeStage(ActiveRequest& _active, Micros _now, Actions& _actions);
+	void retryOrFail(ActiveRequest& _active, bool _sent, Micros _now, Actions& _actions);
+	void reconnectOrRetry(ActiveRequest& _active, Micros _now, Actions& _actions);
 };
 
 void Dispatcher::State::useTable(std::shared_ptr<const Table> _table)
@@ -150,21 +150,21 @@
 	return this->budgets.try_emplace(_pool, this->config.retryShare, this->config.retryBurst).first->second;
 }
 
-bool Dispatcher::State::resolveStages(Flight& _flight) const
+bool Dispatcher::State::resolveStages(ActiveRequest& _active) const
 {
-	for (const std::string& name : _flight.pipeline.stages)
+	for (const std::string& name : _active.pipeline.stages)
 	{
 		const StageRow* row = this->table->stage(name);
 		if (row == nullptr)
 		{
 			return false;
 		}
-		_flight.stages.push_back(*row);
+		_active.stages.push_back(*row);
 	}
 	return true;
 }
 
-std::optional<Outcome> Dispatcher::State::limitRefusal(const RequestSpec& _request) const
+std::optional<Outcome> Dispatcher::State::checkWorkspaceLimit(const RequestSpec& _request) const
 {
 	const WorkspaceRow* workspace = this->table->workspace(_request.workspace);
 	const auto share = this->shares.find(_request.workspace);
@@ -173,8 +173,8 @@
 	{
 		limit = std::min(limit, share->second);
 	}
-	const auto flying = this->workspaceFlights.find(_request.workspace);
-	const std::int64_t count = flying == this->workspaceFlights.end() ? 0 : flying->second;
+	const auto found = this->inFlightByWorkspace.find(_request.workspace);
+	const std::int64_t count = found == this->inFlightByWorkspace.end() ? 0 : found->second;
 	if (limit >= 0 && count >= limit)
 	{
 		return Outcome{Verdict::NotRun, Reason::WorkspaceLimit, true, kRetryAfterMin, {}};
@@ -182,59 +182,61 @@
 	return std::nullopt;
 }
 
-double Dispatcher::State::queueWait(const Flight& _flight, const std::string& _pool, Micros _now)
+double Dispatcher::State::queueWaitUs(const ActiveRequest& _active, const std::string& _pool, Micros _now)
 {
-	const PoolRoom room = this->book.room(_pool, _now);
-	if (room.slots <= 0)
+	const PoolCapacity capacity = this->registry.capacity(_pool, _now);
+	if (capacity.slots <= 0)
 	{
 		return 0;
 	}
-	const bool urgent = _flight.pipeline.urgent;
-	const double before = this->queue(_pool).workBefore(_flight.spec.workspace, _flight.weight, urgent);
-	return before / room.slots;
+	const bool urgent = _active.pipeline.urgent;
+	const double aheadUs = this->queue(_pool).workAheadUs(_active.spec.workspace, _active.weight, urgent);
+	return aheadUs / capacity.slots;
 }
 
 /// Predicted service time of a stage and all after it.
-double Dispatcher::State::serviceFrom(const Flight& _flight, std::size_t _stage, double _deviations) const
+double Dispatcher::State::remainingServiceUs(const ActiveRequest& _active, std::size_t _stage, double _deviations) const
 {
-	double total = 0;
-	for (std::size_t index = _stage; index < _flight.stages.size(); ++index)
+	double totalUs = 0;
+	for (std::size_t index = _stage; index < _active.stages.size(); ++index)
 	{
-		const StageRow& stage = _flight.stages[index];
-		total += this->predictor.serviceTime(_flight.pipeline.name, stage, _flight.spec, _deviations);
+		const StageRow& stage = _active.stages[index];
+		totalUs += this->predictor.serviceTimeUs(_active.pipeline.name, stage, _active.spec, _deviations);
 	}
-	return total;
+	return totalUs;
 }
 
-std::optional<Outcome> Dispatcher::State::feasibilityRefusal(const Flight& _flight, Micros _now)
+std::optional<Outcome> Dispatcher::State::checkFeasibility(const ActiveRequest& _active, Micros _now)
 {
-	double wait = 0;
-	for (const StageRow& stage : _flight.stages)
+	double waitUs = 0;
+	for (const StageRow& stage : _active.stages)
 	{
-		if (!this->book.anyLive(stage.pool))
+		if (!this->registry.hasLiveEndpoint(stage.pool))
 		{
-			return Outcome{Verdict::NotRun, Reason::NoEndpoint, true, kNoEndpointRetry, {}};
+			return Outcome{Verdict::NotRun, Reason::NoEndpoint, true, kNoEndpointRetryAfter, {}};
 		}
 		if (this->queue(stage.pool).size() >= this->config.queueLimit)
 		{
-			return Outcome{Verdict::NotRun, Reason::QueueFull, true, kNoEndpointRetry, {}};
+			return Outcome{Verdict::NotRun, Reason::QueueFull, true, kNoEndpointRetryAfter, {}};
 		}
-		wait += this->queueWait(_flight, stage.pool, _now);
+		waitUs += this->queueWaitUs(_active, stage.pool, _now);
 	}
 	// Where nobody waits, a call that may be late costs nobody else its place.
-	if (!this->config.admitByDeadline || wait <= 0)
+	if (!this->config.admitByDeadline || waitUs <= 0)
 	{
 		return std::nullopt;
 	}
-	const double finish = static_cast<double>(_now) + wait + this->serviceFrom(_flight, 0, this->config.lateMargin);
-	if (finish > static_cast<double>(_flight.spec.deadline))
+	const double finishAt =
+		static_cast<double>(_now) + waitUs + this->remainingServiceUs(_active, 0, this->config.marginDeviations);
+	if (finishAt > static_cast<double>(_active.spec.deadline))
 	{
-		return Outcome{Verdict::NotRun, Reason::WouldBeLate, true, clampRetryAfter(wait), {}};
+		return Outcome{Verdict::NotRun, Reason::WouldBeLate, true, clampRetryAfter(waitUs), {}};
 	}
 	return std::nullopt;
 }
 
-std::optional<Outcome> Dispatcher::State::refusalOf(const RequestSpec& _request, Flight& _flight, Micros _now)
+std::optional<Outcome> Dispatcher::State::checkAdmission(const RequestSpec& _request, ActiveRequest& _active,
+														 Micros _now)
 {
 	const auto refuse = [](Reason _reason, Micros _retryAfter) {
 		return Outcome{Verdict::NotRun, _reason, true, _retryAfter, {}};
@@ -256,64 +258,64 @@
 	{
 		return refuse(Reason::DeadlinePassed, 0);
 	}
-	_flight.spec = _request;
-	_flight.pipeline = *pipeline;
-	if (!this->resolveStages(_flight))
+	_active.spec = _request;
+	_active.pipeline = *pipeline;
+	if (!this->resolveStages(_active))
 	{
 		return refuse(Reason::UnknownStage, 0);
 	}
 	if (const WorkspaceRow* workspace = this->table->workspace(_request.workspace))
 	{
-		_flight.weight = workspace->weight;
+		_active.weight = workspace->weight;
 	}
-	if (auto refusal = this->limitRefusal(_request))
+	if (auto refusal = this->checkWorkspaceLimit(_request))
 	{
 		return refusal;
 	}
-	return this->feasibilityRefusal(_flight, _now);
+	return this->checkFeasibility(_active, _now);
 }
 
-bool Dispatcher::State::isOnce(const Flight& _flight) const
+bool Dispatcher::State::isAtMostOnce(const ActiveRequest& _active) const
 {
-	const StageRow& stage = _flight.stages[_flight.stageIndex];
-	const bool effect = stage.kind == StageKind::Engine || stage.kind == StageKind::Service;
-	return !stage.repeatable || (effect && !_flight.spec.repeatable);
+	const StageRow& stage = _active.stages[_active.stageIndex];
+	const bool hasEffect = stage.kind == StageKind::Engine || stage.kind == StageKind::Service;
+	return !stage.repeatable || (hasEffect && !_active.spec.repeatable);
 }
 
-void Dispatcher::State::enqueue(Flight& _flight)
+void Dispatcher::State::enqueue(ActiveRequest& _active)
 {
-	const StageRow& stage = _flight.stages[_flight.stageIndex];
-	_flight.phase = Phase::Waiting;
-	_flight.predicted = this->predictor.serviceTime(_flight.pipeline.name, stage, _flight.spec, 0);
-	_flight.waiting = Waiting{_flight.spec.id, _flight.spec.workspace, _flight.spec.deadline, _flight.predicted,
-							  _flight.pipeline.urgent};
-	this->queue(stage.pool).push(_flight.waiting, _flight.weight);
+	const StageRow& stage = _active.stages[_active.stageIndex];
+	_active.phase = Phase::Waiting;
+	_active.predictedUs = this->predictor.serviceTimeUs(_active.pipeline.name, stage, _active.spec, 0);
+	_active.queued = QueuedRequest{_active.spec.id, _active.spec.workspace, _active.spec.deadline, _active.predictedUs,
+								   _active.pipeline.urgent};
+	this->queue(stage.pool).push(_active.queued, _active.weight);
 }
 
-bool Dispatcher::State::mayUse(const std::string& _pool, bool _urgent, Micros _now) const
+bool Dispatcher::State::mayStart(const std::string& _pool, bool _urgent, Micros _now) const
 {
 	if (_urgent || this->urgentPools.count(_pool) == 0)
 	{
 		return true;
 	}
-	const PoolRoom room = this->book.room(_pool, _now);
-	return room.used < room.slots * (1.0 - this->config.urgentReserve);
+	const PoolCapacity capacity = this->registry.capacity(_pool, _now);
+	return capacity.inFlight < capacity.slots * (1.0 - this->config.urgentReserve);
 }
 
-bool Dispatcher::State::stopDoomed(const std::vector<Waiting>& _window, Micros _now, Actions& _actions)
+bool Dispatcher::State::abortInfeasible(const std::vector<QueuedRequest>& _window, Micros _now, Actions& _actions)
 {
 	if (_window.size() < 2)
 	{
 		// Nobody else waits for the place.
 		return false;
 	}
-	for (const Waiting& waiting : _window)
+	for (const QueuedRequest& candidate : _window)
 	{
-		const Flight& flight = this->flights.at(waiting.request);
-		const auto left = static_cast<double>(flight.spec.deadline - _now);
-		if (this->config.dropDoomed && this->serviceFrom(flight, flight.stageIndex, 0) > left)
+		const ActiveRequest& active = this->activeRequests.at(candidate.id);
+		const auto remainingUs = static_cast<double>(active.spec.deadline - _now);
+		if (this->config.dropInfeasible && this->remainingServiceUs(active, active.stageIndex, 0) > remainingUs)
 		{
-			this->stopFlight(waiting.request, Reason::WouldBeLate, _now, _actions);
+			this->abortRequest(candidate.id, Reason::WouldBeLate, _now, _actions);
 			return true;
 		}
 	}
@@ -322,46 +324,46 @@
 
 bool Dispatcher::State::startNext(const std::string& _pool, Micros _now, Actions& _actions)
 {
-	PoolQueue& queued = this->queue(_pool);
-	const std::vector<Waiting> window = queued.window(this->config.window);
-	if (this->stopDoomed(window, _now, _actions))
+	PoolQueue& poolQueue = this->queue(_pool);
+	const std::vector<QueuedRequest> window = poolQueue.nextRequests(this->config.lookahead);
+	if (this->abortInfeasible(window, _now, _actions))
 	{
 		return true;
 	}
-	const Waiting* second = nullptr;
-	EndpointState* secondPlace = nullptr;
-	for (const Waiting& waiting : window)
+	const QueuedRequest* fallback = nullptr;
+	EndpointState* fallbackEndpoint = nullptr;
+	for (const QueuedRequest& candidate : window)
 	{
-		if (!this->mayUse(_pool, waiting.urgent, _now))
+		if (!this->mayStart(_pool, candidate.urgent, _now))
 		{
 			break;
 		}
-		Flight& flight = this->flights.at(waiting.request);
+		ActiveRequest& active = this->activeRequests.at(candidate.id);
 		const Placement placement =
-			this->book.choose(_pool, flight.spec.prefix, flight.avoid, flight.spec.nearDomain, _now);
-		if (const auto* good = std::get_if<PlaceAt>(&placement))
+			this->registry.choose(_pool, active.spec.prefix, active.avoidEndpoint, active.spec.preferredDomain, _now);
+		if (const auto* placed = std::get_if<PlaceAt>(&placement))
 		{
-			queued.take(waiting);
-			this->start(flight, *good->endpoint, _now, _actions);
+			poolQueue.take(candidate);
+			this->start(active, *placed->endpoint, _now, _actions);
 			return true;
 		}
-		const auto* reluctant = std::get_if<PlaceReluctantly>(&placement);
-		if (reluctant != nullptr && second == nullptr)
+		const auto* placedFallback = std::get_if<PlaceFallback>(&placement);
+		if (placedFallback != nullptr && fallback == nullptr)
 		{
-			second = &waiting;
-			secondPlace = reluctant->endpoint;
+			fallback = &candidate;
+			fallbackEndpoint = placedFallback->endpoint;
 		}
 	}
-	if (second == nullptr)
+	if (fallback == nullptr)
 	{
 		return false;
 	}
-	queued.take(*second);
-	this->start(this->flights.at(second->request), *secondPlace, _now, _actions);
+	poolQueue.take(*fallback);
+	this->start(this->activeRequests.at(fallback->id), *fallbackEndpoint, _now, _actions);
 	return true;
 }
 
-void Dispatcher::State::pump(const std::string& _pool, Micros _now, Actions& _actions)
+void Dispatcher::State::startQueued(const std::string& _pool, Micros _now, Actions& _actions)
 {
 	bool more = true;
 	while (more)
@@ -370,52 +372,52 @@
 	}
 }
 
-void Dispatcher::State::start(Flight& _flight, EndpointState& _endpoint, Micros _now, Actions& _actions)
+void Dispatcher::State::start(ActiveRequest& _active, EndpointState& _endpoint, Micros _now, Actions& _actions)
 {
-	const StageRow& stage = _flight.stages[_flight.stageIndex];
-	_flight.phase = Phase::Running;
-	_flight.attempt = ++this->lastAttempt;
-	_flight.endpoint = _endpoint.endpoint.id;
-	_flight.startedAt = _now;
-	_flight.attemptsMade += 1;
+	const StageRow& stage = _active.stages[_active.stageIndex];
+	_active.phase = Phase::Running;
+	_active.attempt = ++this->lastAttempt;
+	_active.endpoint = _endpoint.endpoint.id;
+	_active.startedAt = _now;
+	_active.attemptsMade += 1;
 	this->counters.attempts += 1;
-	if (_flight.attemptsMade == 1 && _flight.connectsFailed == 0 && !_flight.spec.repeat)
+	if (_active.attemptsMade == 1 && _active.failedConnects == 0 && !_active.spec.isRetry)
 	{
-		this->budget(stage.pool).firstAttempt();
+		this->budget(stage.pool).recordFirstAttempt();
 	}
-	this->requestOfAttempt.emplace(_flight.attempt, _flight.spec.id);
-	this->book.began(_endpoint, _flight.predicted, _now);
+	this->requestOfAttempt.emplace(_active.attempt, _active.spec.id);
+	this->registry.recordCallStart(_endpoint, _active.predictedUs, _now);
 	StartAttempt action;
-	action.request = _flight.spec.id;
-	action.attempt = _flight.attempt;
-	action.stageIndex = _flight.stageIndex;
+	action.request = _active.spec.id;
+	action.attempt = _active.attempt;
+	action.stageIndex = _active.stageIndex;
 	action.stage = stage.name;
 	action.kind = stage.kind;
 	action.endpoint = _endpoint.endpoint.id;
 	action.address = _endpoint.endpoint.address;
-	action.giveUpAt = _flight.spec.deadline;
-	action.once = this->isOnce(_flight);
+	action.deadline = _active.spec.deadline;
+	action.atMostOnce = this->isAtMostOnce(_active);
 	_actions.emplace_back(std::move(action));
 }
 
-void Dispatcher::State::releaseAttempt(Flight& _flight)
+void Dispatcher::State::releaseAttempt(ActiveRequest& _active)
 {
-	this->requestOfAttempt.erase(_flight.attempt);
-	this->book.ended(_flight.endpoint, _flight.predicted);
+	this->requestOfAttempt.erase(_active.attempt);
+	this->registry.recordCallEnd(_active.endpoint, _active.predictedUs);
 }
 
 void Dispatcher::State::finish(std::uint64_t _request, Outcome _outcome, Actions& _actions)
 {
-	const auto found = this->flights.find(_request);
-	const Flight& flight = found->second;
-	this->deadlines.erase({flight.spec.deadline, _request});
-	const auto count = this->workspaceFlights.find(flight.spec.workspace);
+	const auto found = this->activeRequests.find(_request);
+	const ActiveRequest& active = found->second;
+	this->deadlines.erase({active.spec.deadline, _request});
+	const auto count = this->inFlightByWorkspace.find(active.spec.workspace);
 	count->second -= 1;
 	if (count->second == 0)
 	{
-		this->workspaceFlights.erase(count);
+		this->inFlightByWorkspace.erase(count);
 	}
-	this->flights.erase(found);
+	this->activeRequests.erase(found);
 	switch (_outcome.verdict)
 	{
 	case Verdict::Answered:
@@ -431,112 +433,112 @@
 	_actions.emplace_back(FinishRequest{_request, std::move(_outcome)});
 }
 
-Outcome Dispatcher::State::givenUp(const Flight& _flight, Reason _reason) const
+Outcome Dispatcher::State::failureOutcome(const ActiveRequest& _active, Reason _reason) const
 {
 	Outcome outcome;
-	outcome.verdict = _flight.begun ? Verdict::Unknown : Verdict::NotRun;
+	outcome.verdict = _active.anySent ? Verdict::Unknown : Verdict::NotRun;
 	outcome.reason = _reason;
-	outcome.repeatSafe = !_flight.onceBegun;
+	outcome.repeatSafe = !_active.atMostOnceSent;
 	outcome.retryAfter = kRetryAfterMin;
-	outcome.stage = _flight.stages[_flight.stageIndex].name;
+	outcome.stage = _active.stages[_active.stageIndex].name;
 	return outcome;
 }
 
-void Dispatcher::State::stopFlight(std::uint64_t _request, Reason _reason, Micros _now, Actions& _actions)
+void Dispatcher::State::abortRequest(std::uint64_t _request, Reason _reason, Micros _now, Actions& _actions)
 {
-	Flight& flight = this->flights.at(_request);
-	const std::string pool = flight.stages[flight.stageIndex].pool;
-	if (flight.phase == Phase::Waiting)
+	ActiveRequest& active = this->activeRequests.at(_request);
+	const std::string pool = active.stages[active.stageIndex].pool;
+	if (active.phase == Phase::Waiting)
 	{
-		this->queue(pool).remove(flight.waiting);
-		this->finish(_request, this->givenUp(flight, _reason), _actions);
+		this->queue(pool).remove(active.queued);
+		this->finish(_request, this->failureOutcome(active, _reason), _actions);
 		return;
 	}
 	// The call is under way; how far it has come is not known here.
-	flight.begun = true;
-	flight.onceBegun = flight.onceBegun || this->isOnce(flight);
-	_actions.emplace_back(CancelAttempt{_request, flight.attempt});
-	this->releaseAttempt(flight);
-	this->finish(_request, this->givenUp(flight, _reason), _actions);
-	this->pump(pool, _now, _actions);
+	active.anySent = true;
+	active.atMostOnceSent = active.atMostOnceSent || this->isAtMostOnce(active);
+	_actions.emplace_back(CancelAttempt{_request, active.attempt});
+	this->releaseAttempt(active);
+	this->finish(_request, this->failureOutcome(active, _reason), _actions);
+	this->startQueued(pool, _now, _actions);
 }
 
-void Dispatcher::State::answered(Flight& _flight, Micros _now, Actions& _actions)
+void Dispatcher::State::completeStage(ActiveRequest& _active, Micros _now, Actions& _actions)
 {
-	const StageRow& stage = _flight.stages[_flight.stageIndex];
+	const StageRow& stage = _active.stages[_active.stageIndex];
 	const std::string pool = stage.pool;
-	const auto measured = static_cast<double>(_now - _flight.startedAt);
-	this->releaseAttempt(_flight);
-	this->book.succeeded(_flight.endpoint, measured / std::max(1.0, _flight.predicted), _now);
-	this->predictor.measured(_flight.pipeline.name, stage, _flight.spec, measured);
-	_flight.begun = true;
-	_flight.onceBegun = _flight.onceBegun || this->isOnce(_flight);
-	_flight.stageIndex += 1;
-	_flight.attemptsMade = 0;
-	_flight.connectsFailed = 0;
-	_flight.avoid.clear();
-	if (_flight.stageIndex == _flight.stages.size())
-	{
-		this->finish(_flight.spec.id, Outcome{Verdict::Answered, Reason::None, false, 0, {}}, _actions);
-		this->pump(pool, _now, _actions);
+	const auto measuredUs = static_cast<double>(_now - _active.startedAt);
+	this->releaseAttempt(_active);
+	this->registry.recordSuccess(_active.endpoint, measuredUs / std::max(1.0, _active.predictedUs), _now);
+	this->predictor.record(_active.pipeline.name, stage, _active.spec, measuredUs);
+	_active.anySent = true;
+	_active.atMostOnceSent = _active.atMostOnceSent || this->isAtMostOnce(_active);
+	_active.stageIndex += 1;
+	_active.attemptsMade = 0;
+	_active.failedConnects = 0;
+	_active.avoidEndpoint.clear();
+	if (_active.stageIndex == _active.stages.size())
+	{
+		this->finish(_active.spec.id, Outcome{Verdict::Answered, Reason::None, false, 0, {}}, _actions);
+		this->startQueued(pool, _now, _actions);
 		return;
 	}
-	this->enqueue(_flight);
-	const std::string next = _flight.stages[_flight.stageIndex].pool;
-	this->pump(pool, _now, _actions);
+	this->enqueue(_active);
+	const std::string next = _active.stages[_active.stageIndex].pool;
+	this->startQueued(pool, _now, _actions);
 	if (next != pool)
 	{
-		this->pump(next, _now, _actions);
+		this->startQueued(next, _now, _actions);
 	}
 }
 
-void Dispatcher::State::retryOrGiveUp(Flight& _flight, bool _sent, Micros _now, Actions& _actions)
+void Dispatcher::State::retryOrFail(ActiveRequest& _active, bool _sent, Micros _now, Actions& _actions)
 {
-	const StageRow& stage = _flight.stages[_flight.stageIndex];
+	const StageRow& stage = _active.stages[_active.stageIndex];
 	const std::string pool = stage.pool;
-	const std::uint64_t request = _flight.spec.id;
-	const bool once = this->isOnce(_flight);
-	this->releaseAttempt(_flight);
-	this->book.failed(_flight.endpoint, _now);
-	_flight.begun = _flight.begun || _sent;
-	_flight.onceBegun = _flight.onceBegun || (_sent && once);
-	_flight.avoid = _flight.endpoint;
-	if (_sent && once)
+	const std::uint64_t request = _active.spec.id;
+	const bool atMostOnce = this->isAtMostOnce(_active);
+	this->releaseAttempt(_active);
+	this->registry.recordFailure(_active.endpoint, _now);
+	_active.anySent = _active.anySent || _sent;
+	_active.atMostOnceSent = _active.atMostOnceSent || (_sent && atMostOnce);
+	_active.avoidEndpoint = _active.endpoint;
+	if (_sent && atMostOnce)
 	{
-		this->finish(request, this->givenUp(_flight, Reason::CutWhileRunning), _actions);
+		this->finish(request, this->failureOutcome(_active, Reason::CutWhileRunning), _actions);
 	}
-	else if (_flight.attemptsMade >= stage.attempts)
+	else if (_active.attemptsMade >= stage.attempts)
 	{
-		this->finish(request, this->givenUp(_flight, Reason::AttemptsExhausted), _actions);
+		this->finish(request, this->failureOutcome(_active, Reason::AttemptsExhausted), _actions);
 	}
-	else if (!this->budget(stage.pool).takeRetry())
+	else if (!this->budget(stage.pool).tryTakeRetry())
 	{
-		this->finish(request, this->givenUp(_flight, Reason::RetryBudgetEmpty), _actions);
+		this->finish(request, this->failureOutcome(_active, Reason::RetryBudgetEmpty), _actions);
 	}
 	else
 	{
 		this->counters.retries += 1;
-		this->enqueue(_flight);
+		this->enqueue(_active);
 	}
-	this->pump(pool, _now, _actions);
+	this->startQueued(pool, _now, _actions);
 }
 
 /// No endpoint has seen the attempt: where the settings allow it, it counts neither as an attempt nor as a retry.
-void Dispatcher::State::reconnectOrGiveUp(Flight& _flight, Micros _now, Actions& _actions)
+void Dispatcher::State::reconnectOrRetry(ActiveRequest& _active, Micros _now, Actions& _actions)
 {
-	if (_flight.connectsFailed >= this->config.spareConnects)
+	if (_active.failedConnects >= this->config.maxExtraConnects)
 	{
-		this->retryOrGiveUp(_flight, false, _now, _actions);
+		this->retryOrFail(_active, false, _now, _actions);
 		return;
 	}
-	_flight.connectsFailed += 1;
-	_flight.attemptsMade -= 1;
-	_flight.avoid = _flight.endpoint;
-	const std::string pool = _flight.stages[_flight.stageIndex].pool;
-	this->releaseAttempt(_flight);
-	this->book.failed(_flight.endpoint, _now);
-	this->enqueue(_flight);
-	this->pump(pool, _now, _actions);
+	_active.failedConnects += 1;
+	_active.attemptsMade -= 1;
+	_active.avoidEndpoint = _active.endpoint;
+	const std::string pool = _active.stages[_active.stageIndex].pool;
+	this->releaseAttempt(_active);
+	this->registry.recordFailure(_active.endpoint, _now);
+	this->enqueue(_active);
+	this->startQueued(pool, _now, _actions);
 }
 
 Dispatcher::Dispatcher(const DispatcherConfig& _config) : state(std::make_unique<State>(_config))
@@ -552,22 +554,22 @@
 
 void Dispatcher::setEndpoints(const std::vector<Endpoint>& _endpoints)
 {
-	this->state->book.setEndpoints(_endpoints);
+	this->state->registry.setEndpoints(_endpoints);
 }
 
-void Dispatcher::setNodes(std::size_t _nodes)
+void Dispatcher::setNodeCount(std::size_t _nodes)
 {
-	this->state->book.setNodes(_nodes);
+	this->state->registry.setNodeCount(_nodes);
 }
 
 void Dispatcher::markLeaving(const std::string& _endpoint)
 {
-	this->state->book.markLeaving(_endpoint);
+	this->state->registry.markLeaving(_endpoint);
 }
 
 void Dispatcher::reportLoad(const std::string& _endpoint, const LoadReport& _report)
 {
-	this->state->book.reportLoad(_endpoint, _report);
+	this->state->registry.reportLoad(_endpoint, _report);
 }
 
 void Dispatcher::setShare(const std::string& _workspace, std::int64_t _inFlight)
@@ -595,14 +597,14 @@
 	}
 }
 
-void Dispatcher::State::admit(const RequestSpec& _request, Flight _flight, Micros _now, Actions& _actions)
+void Dispatcher::State::admit(const RequestSpec& _request, ActiveRequest _active, Micros _now, Actions& _actions)
 {
-	this->workspaceFlights[_request.workspace] += 1;
+	this->inFlightByWorkspace[_request.workspace] += 1;
 	this->deadlines.emplace(_request.deadline, _request.id);
-	Flight& kept = this->flights.emplace(_request.id, std::move(_flight)).first->second;
-	const std::string pool = kept.stages.front().pool;
-	this->enqueue(kept);
-	this->pump(pool, _now, _actions);
+	ActiveRequest& active = this->activeRequests.emplace(_request.id, std::move(_active)).first->second;
+	const std::string pool = active.stages.front().pool;
+	this->enqueue(active);
+	this->startQueued(pool, _now, _actions);
 }
 
 Actions Dispatcher::submit(const RequestSpec& _request, Micros _now)
@@ -610,14 +612,14 @@
 	State& self = *this->state;
 	Actions actions;
 	self.counters.submitted += 1;
-	Flight flight;
-	if (auto refusal = self.refusalOf(_request, flight, _now))
+	ActiveRequest active;
+	if (auto refusal = self.checkAdmission(_request, active, _now))
 	{
 		self.counters.notRun += 1;
 		actions.emplace_back(FinishRequest{_request.id, *refusal});
 		return actions;
 	}
-	self.admit(_request, std::move(flight), _now, actions);
+	self.admit(_request, std::move(active), _now, actions);
 	return actions;
 }
 
@@ -627,12 +629,12 @@
 	State& self = *this->state;
 	Actions actions;
 	self.counters.submitted += 1;
-	Flight flight;
-	flight.spec = _request;
-	flight.pipeline = _pipeline;
-	flight.stages = _stages;
-	std::optional<Outcome> refusal = self.feasibilityRefusal(flight, _now);
-	if (!refusal && _request.repeat && !self.budget(_stages.front().pool).takeRetry())
+	ActiveRequest active;
+	active.spec = _request;
+	active.pipeline = _pipeline;
+	active.stages = _stages;
+	std::optional<Outcome> refusal = self.checkFeasibility(active, _now);
+	if (!refusal && _request.isRetry && !self.budget(_stages.front().pool).tryTakeRetry())
 	{
 		refusal = Outcome{Verdict::NotRun, Reason::RetryBudgetEmpty, true, kRetryAfterMin, {}};
 	}
@@ -642,7 +644,7 @@
 		actions.emplace_back(FinishRequest{_request.id, *refusal});
 		return actions;
 	}
-	self.admit(_request, std::move(flight), _now, actions);
+	self.admit(_request, std::move(active), _now, actions);
 	return actions;
 }
 
@@ -656,13 +658,13 @@
 		self.counters.lateAnswers += 1;
 		return actions;
 	}
-	Flight& flight = self.flights.at(found->second);
+	ActiveRequest& active = self.activeRequests.at(found->second);
 	std::visit(
 		Overloaded{
-			[&](const AttemptAnswered&) { self.answered(flight, _now, actions); },
-			[&](const AttemptNotSent&) { self.reconnectOrGiveUp(flight, _now, actions); },
-			[&](const AttemptRefused&) { self.retryOrGiveUp(flight, false, _now, actions); },
-			[&](const AttemptCut&) { self.retryOrGiveUp(flight, true, _now, actions); },
+			[&](const AttemptAnswered&) { self.completeStage(active, _now, actions); },
+			[&](const AttemptNotSent&) { self.reconnectOrRetry(active, _now, actions); },
+			[&](const AttemptRefused&) { self.retryOrFail(active, false, _now, actions); },
+			[&](const AttemptInterrupted&) { self.retryOrFail(active, true, _now, actions); },
 		},
 		_end);
 	return actions;
@@ -671,9 +673,9 @@
 Actions Dispatcher::cancel(std::uint64_t _request, Micros _now)
 {
 	Actions actions;
-	if (this->state->flights.count(_request) > 0)
+	if (this->state->activeRequests.count(_request) > 0)
 	{
-		this->state->stopFlight(_request, Reason::Cancelled, _now, actions);
+		this->state->abortRequest(_request, Reason::Cancelled, _now, actions);
 	}
 	return actions;
 }
@@ -684,28 +686,28 @@
 	Actions actions;
 	while (!self.deadlines.empty() && self.deadlines.begin()->first <= _now)
 	{
-		self.stopFlight(self.deadlines.begin()->second, Reason::DeadlinePassed, _now, actions);
+		self.abortRequest(self.deadlines.begin()->second, Reason::DeadlinePassed, _now, actions);
 	}
 	for (auto& entry : self.queues)
 	{
-		self.pump(entry.first, _now, actions);
+		self.startQueued(entry.first, _now, actions);
 	}
 	return actions;
 }
 
 std::string Dispatcher::homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const
 {
-	return this->state->book.homeDomain(_pool, _prefix, _now);
+	return this->state->registry.homeDomain(_pool, _prefix, _now);
 }
 
 std::size_t Dispatcher::inFlight() const
 {
-	return this->state->flights.size();
+	return this->state->activeRequests.size();
 }
 
 std::map<std::string, std::int64_t> Dispatcher::inFlightByWorkspace() const
 {
-	return this->state->workspaceFlights;
+	return this->state->inFlightByWorkspace;
 }
 
 const DispatcherCounters& Dispatcher::counters() const
@@ -715,7 +717,7 @@
 
 std::vector<EndpointState> Dispatcher::endpoints() const
 {
-	return this->state->book.all();
+	return this->state->registry.states();
 }
 
 } // namespace roadferry
--- /dev/null
+++ b/src/endpoint_registry.cpp
@@ -0,0 +1,348 @@
+/*
+ * Copyright 2026 The roadferry maintainers. All rights reserved.
+ * License: https://opensource.org/licenses/BSD-2-Clause
+ */
+
+/// @file
+/// Implementation of the endpoints' state.
+
+#include "endpoint_registry.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace roadferry
+{
+
+namespace
+{
+
+constexpr double kSlownessSmoothing = 0.2;
+constexpr double kEjectionSlowness = 4.0;            ///< An endpoint this much slower than predicted is set aside.
+constexpr double kUncontendedLoad = 0.5;             ///< Below it an endpoint is shared by whoever comes first.
+constexpr double kPreferredDomainMaxLoadRatio = 2.0; ///< Mean loads up to which an endpoint nearby is preferred,
+constexpr double kPreferredDomainIdleLoad = 0.25;    ///< whatever the mean is up to this,
+constexpr double kPreferredDomainMaxSlowness = 2.0;  ///< unless it is this much slower than predicted.
+constexpr double kOwnSmoothing = 0.5;
+constexpr double kOthersSmoothing = 0.3; ///< Keeps nodes from all running to whichever endpoint looked idle.
+
+/// Keeps to the endpoints of a failure domain, as long as one of them is not much busier than the pool.
+void preferDomain(std::vector<EndpointState*>& _candidates, const std::string& _domain, double _meanLoad)
+{
+	if (_domain.empty())
+	{
+		return;
+	}
+	std::vector<EndpointState*> preferred;
+	for (EndpointState* candidate : _candidates)
+	{
+		const bool lightlyLoaded =
+			candidate->load() <= std::max(kPreferredDomainIdleLoad, kPreferredDomainMaxLoadRatio * _meanLoad);
+		if (candidate->endpoint.failureDomain == _domain && lightlyLoaded &&
+			candidate->slowness < kPreferredDomainMaxSlowness)
+		{
+			preferred.push_back(candidate);
+		}
+	}
+	if (!preferred.empty())
+	{
+		_candidates = preferred;
+	}
+}
+
+} // namespace
+
+double EndpointState::load() const
+{
+	const auto slots = static_cast<double>(std::max<std::int64_t>(1, this->endpoint.slots));
+	return (static_cast<double>(this->ownInFlight) + this->othersInFlight) / slots;
+}
+
+bool EndpointState::isUsable(Micros _now) const
+{
+	if (!this->listed || this->endpoint.leaving || _now < this->ejectedUntil)
+	{
+		return false;
+	}
+	// After a time aside one call at a time goes to it, until one has succeeded.
+	return !this->probing || this->ownInFlight == 0;
+}
+
+EndpointRegistry::EndpointRegistry(const DispatcherConfig& _config)
+	: config(_config), policy(findPlacement(_config.placement)),
+	  random(static_cast<std::minstd_rand::result_type>(_config.seed))
+{
+}
+
+EndpointState* EndpointRegistry::find(const std::string& _endpoint)
+{
+	const auto found = this->endpoints.find(_endpoint);
+	return found == this->endpoints.end() ? nullptr : found->second.get();
+}
+
+void EndpointRegistry::setEndpoints(const std::vector<Endpoint>& _endpoints)
+{
+	for (auto& entry : this->endpoints)
+	{
+		entry.second->listed = false;
+	}
+	for (const Endpoint& listed : _endpoints)
+	{
+		auto& state = this->endpoints[listed.id];
+		if (state == nullptr)
+		{
+			state = std::make_unique<EndpointState>();
+		}
+		state->endpoint = listed;
+		state->listed = true;
+		if (listed.leaving)
+		{
+			this->leavingIds.insert(listed.id);
+		}
+		state->endpoint.leaving = this->leavingIds.count(listed.id) > 0;
+	}
+	std::erase_if(this->endpoints,
+				  [](const auto& _entry) { return !_entry.second->listed && _entry.second->ownInFlight == 0; });
+	this->rebuildPools();
+}
+
+void EndpointRegistry::rebuildPools()
+{
+	for (auto& pool : this->pools)
+	{
+		pool.second.members.clear();
+	}
+	for (auto& entry : this->endpoints)
+	{
+		this->pools[entry.second->endpoint.pool].members.push_back(entry.second.get());
+	}
+	for (auto& pool : this->pools)
+	{
+		std::sort(pool.second.members.begin(), pool.second.members.end(),
+				  [](const EndpointState* _left, const EndpointState* _right)
+				  { return _left->endpoint.id < _right->endpoint.id; });
+	}
+}
+
+void EndpointRegistry::setNodeCount(std::size_t _nodes)
+{
+	this->nodeCount = std::max<std::size_t>(1, _nodes);
+}
+
+void EndpointRegistry::markLeaving(const std::string& _endpoint)
+{
+	this->leavingIds.insert(_endpoint);
+	if (EndpointState* found = this->find(_endpoint))
+	{
+		found->endpoint.leaving = true;
+	}
+}
+
+void EndpointRegistry::reportLoad(const std::string& _endpoint, const LoadReport& _report)
+{
+	EndpointState* found = this->find(_endpoint);
+	if (found == nullptr)
+	{
+		return;
+	}
+	if (_report.leaving)
+	{
+		this->markLeaving(_endpoint);
+	}
+	// The report is old by its lag; comparing it with smoothed own calls keeps a burst of ours from being counted
+	// as somebody else's.
+	found->smoothedOwnInFlight +=
+		kOwnSmoothing * (static_cast<double>(found->ownInFlight) - found->smoothedOwnInFlight);
+	const auto counted = static_cast<double>(_report.running + _report.queued);
+	const double sample = std::max(0.0, counted - found->smoothedOwnInFlight);
+	found->othersInFlight += kOthersSmoothing * (sample - found->othersInFlight);
+}
+
+bool EndpointRegistry::hasFreeSlot(const EndpointState& _endpoint) const
+{
+	const double load = _endpoint.load();
+	if (load < kUncontendedLoad)
+	{
+		return true;
+	}
+	// Reports are a second old: when an endpoint fills up, each node keeps to its even part of the slots, since all
+	// would otherwise take the same free ones.
+	const double nodeSlots =
+		std::ceil(static_cast<double>(_endpoint.endpoint.slots) / static_cast<double>(this->nodeCount));
+	return load < this->config.slotsFactor && static_cast<double>(_endpoint.ownInFlight) < nodeSlots;
+}
+
+Placement EndpointRegistry::choose(const std::string& _pool, std::uint64_t _prefix, const std::string& _avoid,
+								   const std::string& _domain, Micros _now)
+{
+	const auto found = this->pools.find(_pool);
+	if (found == this->pools.end() || this->policy == nullptr)
+	{
+		return PlaceNone{};
+	}
+	std::vector<EndpointState*> candidates;
+	std::vector<EndpointState*> usable;
+	EndpointState* avoided = nullptr;
+	double totalLoad = 0;
+	for (EndpointState* member : found->second.members)
+	{
+		if (!member->isUsable(_now))
+		{
+			continue;
+		}
+		usable.push_back(member);
+		totalLoad += member->load();
+		if (!this->hasFreeSlot(*member))
+		{
+			continue;
+		}
+		if (member->endpoint.id == _avoid)
+		{
+			avoided = member;
+			continue;
+		}
+		candidates.push_back(member);
+	}
+	if (candidates.empty())
+	{
+		return avoided == nullptr ? Placement(PlaceNone{}) : PlaceFallback{avoided};
+	}
+	const double meanLoad = totalLoad / static_cast<double>(usable.size());
+	preferDomain(candidates, _domain, meanLoad);
+	return this->policy->choose(
+		PlacementInput{candidates, usable, _prefix, this->random, found->second.roundRobinCounter, meanLoad});
+}
+
+std::string EndpointRegistry::homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const
+{
+	const auto found = this->pools.find(_pool);
+	std::vector<EndpointState*> usable;
+	if (found != this->pools.end())
+	{
+		std::copy_if(found->second.members.begin(), found->second.members.end(), std::back_inserter(usable),
+					 [_now](const EndpointState* _member) { return _member->isUsable(_now); });
+	}
+	return usable.empty() ? std::string() : prefixHome(usable, _prefix)->endpoint.failureDomain;
+}
+
+void EndpointRegistry::recordCallStart(EndpointState& _endpoint, double _workUs, Micros _now)
+{
+	if (_endpoint.ejectedUntil > 0 && _now >= _endpoint.ejectedUntil)
+	{
+		_endpoint.probing = true;
+	}
+	_endpoint.ownInFlight += 1;
+	_endpoint.ownWorkUs += _workUs;
+}
+
+void EndpointRegistry::recordCallEnd(const std::string& _endpoint, double _workUs)
+{
+	if (EndpointState* found = this->find(_endpoint))
+	{
+		found->ownInFlight -= 1;
+		found->ownWorkUs = found->ownInFlight == 0 ? 0 : found->ownWorkUs - _workUs;
+	}
+}
+
+void EndpointRegistry::recordSuccess(const std::string& _endpoint, double _measuredOverPredicted, Micros _now)
+{
+	EndpointState* found = this->find(_endpoint);
+	if (found == nullptr)
+	{
+		return;
+	}
+	found->consecutiveFailures = 0;
+	if (_now >= found->ejectedUntil)
+	{
+		found->probing = false;
+		found->ejectedUntil = 0;
+	}
+	found->slowness += kSlownessSmoothing * (_measuredOverPredicted - found->slowness);
+	if (this->config.ejectOutliers && found->slowness > kEjectionSlowness && this->mayEject(found->endpoint.pool, _now))
+	{
+		found->slowness = 1;
+		this->eject(*found, _now);
+	}
+}
+
+void EndpointRegistry::recordFailure(const std::string& _endpoint, Micros _now)
+{
+	EndpointState* found = this->find(_endpoint);
+	if (found == nullptr)
+	{
+		return;
+	}
+	found->consecutiveFailures += 1;
+	const bool shouldEject = found->probing || found->consecutiveFailures >= this->config.ejectAfterFailures;
+	if (this->config.ejectOutliers && shouldEject && this->mayEject(found->endpoint.pool, _now))
+	{
+		this->eject(*found, _now);
+	}
+}
+
+bool EndpointRegistry::mayEject(const std::string& _pool, Micros _now) const
+{
+	const auto found = this->pools.find(_pool);
+	if (found == this->pools.end())
+	{
+		return false;
+	}
+	const auto& members = found->second.members;
+	const auto ejected = std::count_if(members.begin(), members.end(),
+									   [_now](const EndpointState* _member) { return _now < _member->ejectedUntil; });
+	return static_cast<double>(ejected + 1) <= this->config.maxEjectedShare * static_cast<double>(members.size());
+}
+
+void EndpointRegistry::eject(EndpointState& _endpoint, Micros _now)
+{
+	_endpoint.ejectedUntil = _now + this->config.ejectionDuration;
+	_endpoint.probing = false;
+}
+
+PoolCapacity EndpointRegistry::capacity(const std::string& _pool, Micros _now) const
+{
+	PoolCapacity capacity;
+	const auto found = this->pools.find(_pool);
+	if (found == this->pools.end())
+	{
+		return capacity;
+	}
+	for (const EndpointState* member : found->second.members)
+	{
+		if (!member->isUsable(_now))
+		{
+			continue;
+		}
+		capacity.usable += 1;
+		capacity.slots += static_cast<double>(member->endpoint.slots) * this->config.slotsFactor;
+		capacity.inFlight += static_cast<double>(member->ownInFlight) + member->othersInFlight;
+	}
+	return capacity;
+}
+
+bool EndpointRegistry::hasLiveEndpoint(const std::string& _pool) const
+{
+	const auto found = this->pools.find(_pool);
+	if (found == this->pools.end())
+	{
+		return false;
+	}
+	return std::any_of(found->second.members.begin(), found->second.members.end(),
+					   [](const EndpointState* _member) { return _member->listed && !_member->endpoint.leaving; });
+}
+
+std::vector<EndpointState> EndpointRegistry::states() const
+{
+	std::vector<EndpointState> result;
+	result.reserve(this->endpoints.size());
+	for (const auto& entry : this->endpoints)
+	{
+		result.push_back(*entry.second);
+	}
+	std::sort(result.begin(), result.end(),
+			  [](const EndpointState& _left, const EndpointState& _right)
+			  { return _left.endpoint.id < _right.endpoint.id; });
+	return result;
+}
+
+} // namespace roadferry
--- a/src/endpoint_book.h
+++ b/src/endpoint_registry.h
@@ -6,8 +6,8 @@
 /// @file
 /// The endpoints of all pools as one node sees them.
 
-#ifndef ROADFERRY_ENDPOINT_BOOK_H_HEADER_GUARD
-#define ROADFERRY_ENDPOINT_BOOK_H_HEADER_GUARD
+#ifndef ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
+#define ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
 
 #include <roadferry/roadferry.h>
 
@@ -15,71 +15,71 @@
 {
 
 /// Room in one pool.
-struct PoolRoom
+struct PoolCapacity
 {
-	double slots = 0; ///< Slots of all usable endpoints.
-	double used = 0;  ///< Calls in flight on them, of all nodes.
+	double slots = 0;    ///< Slots of all usable endpoints.
+	double inFlight = 0; ///< Calls in flight on them, of all nodes.
 	std::size_t usable = 0;
 };
 
 /// Keeps the state of each endpoint, and decides which may receive work.
-class EndpointBook
+class EndpointRegistry
 {
 public:
-	explicit EndpointBook(const DispatcherConfig& _config);
+	explicit EndpointRegistry(const DispatcherConfig& _config);
 
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 	void markLeaving(const std::string& _endpoint);
 
 	/// @param[in] _nodes Number of live nodes that use each endpoint.
-	void setNodes(std::size_t _nodes);
+	void setNodeCount(std::size_t _nodes);
 	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
 
 	/// Chooses an endpoint with room.
 	/// @param[in] _pool Name of the pool.
 	/// @param[in] _prefix Hash of the prompt's prefix, 0 for none.
 	/// @param[in] _avoid Endpoint that failed this request before; taken only when there is no other.
-	/// @param[in] _near Failure domain to prefer, empty for none.
+	/// @param[in] _domain Failure domain to prefer, empty for none.
 	Placement choose(const std::string& _pool, std::uint64_t _prefix, const std::string& _avoid,
-					 const std::string& _near, Micros _now);
+					 const std::string& _domain, Micros _now);
 
 	/// @returns Failure domain of the endpoint that keeps a prompt prefix, empty when there is none.
 	[[nodiscard]] std::string homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const;
 
 	/// Counts a call as begun or ended on an endpoint.
-	void began(EndpointState& _endpoint, double _work, Micros _now);
-	void ended(const std::string& _endpoint, double _work);
+	void recordCallStart(EndpointState& _endpoint, double _workUs, Micros _now);
+	void recordCallEnd(const std::string& _endpoint, double _workUs);
 
 	/// Learns from how a call went.
-	void succeeded(const std::string& _endpoint, double _measuredOverPredicted, Micros _now);
-	void failed(const std::string& _endpoint, Micros _now);
+	void recordSuccess(const std::string& _endpoint, double _measuredOverPredicted, Micros _now);
+	void recordFailure(const std::string& _endpoint, Micros _now);
 
-	[[nodiscard]] PoolRoom room(const std::string& _pool, Micros _now) const;
-	[[nodiscard]] bool anyLive(const std::string& _pool) const;
-	[[nodiscard]] std::vector<EndpointState> all() const;
+	[[nodiscard]] PoolCapacity capacity(const std::string& _pool, Micros _now) const;
+	[[nodiscard]] bool hasLiveEndpoint(const std::string& _pool) const;
+	[[nodiscard]] std::vector<EndpointState> states() const;
 
 private:
 	struct Pool
 	{
 		std::vector<EndpointState*> members;
-		std::size_t turn = 0;
+		std::size_t roundRobinCounter = 0;
 	};
 
 	[[nodiscard]] EndpointState* find(const std::string& _endpoint);
-	[[nodiscard]] bool hasRoom(const EndpointState& _endpoint) const;
-	[[nodiscard]] bool maySetAside(const std::string& _pool, Micros _now) const;
-	void setAside(EndpointState& _endpoint, Micros _now);
+	[[nodiscard]] bool hasFreeSlot(const EndpointState& _endpoint) const;
+	[[nodiscard]] bool mayEject(const std::string& _pool, Micros _now) const;
+	void eject(EndpointState& _endpoint, Micros _now);
 	void rebuildPools();
 
 	DispatcherConfig config;
-	std::size_t nodes = 1;
+	std::size_t nodeCount = 1;
 	const PlacementPolicy* policy;
 	std::minstd_rand random;
 	std::unordered_map<std::string, std::unique_ptr<EndpointState>> endpoints;
 	std::unordered_map<std::string, Pool> pools;
-	std::set<std::string> left; ///< Endpoints that are leaving; the mark is never taken back.
+	std::set<std::string> leavingIds; ///< Endpoints that are leaving; the mark is never taken back.
 };
 
 } // namespace roadferry
 
-#endif // ROADFERRY_ENDPOINT_BOOK_H_HEADER_GUARD
+#endif // ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -116,7 +116,7 @@
 	}
 	if (_end.result == CallResult::Cut || !this->current)
 	{
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	if (this->current->notRun)
 	{
@@ -126,7 +126,7 @@
 	{
 		if (this->spoiled || this->cutter.hasPart())
 		{
-			return AttemptCut{};
+			return AttemptInterrupted{};
 		}
 		this->startStream();
 		return AttemptAnswered{};
@@ -134,17 +134,17 @@
 	const unsigned status = this->current->status;
 	if (status < kFirstFailure && !this->isGood())
 	{
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	if (this->streamStarted || (promisesNotRun(status) && !this->repeatable))
 	{
 		// A failure has no place inside a stream; and this status would promise what the endpoint did not.
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	this->keptHead = this->current;
 	this->keptBody = _end.body.empty() ? this->body : _end.body;
 	const bool tryAgain = status >= kFirstServerFailure && this->repeatable;
-	return tryAgain ? AttemptEnd(AttemptCut{}) : AttemptEnd(AttemptAnswered{});
+	return tryAgain ? AttemptEnd(AttemptInterrupted{}) : AttemptEnd(AttemptAnswered{});
 }
 
 void ForwardAnswer::deliver()
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -116,7 +116,7 @@
 					[this, _members]
 					{
 						this->nodes = std::max<std::size_t>(1, _members.size());
-						this->dispatcher.setNodes(_members.size());
+						this->dispatcher.setNodeCount(_members.size());
 						this->pieces.setMembers(_members);
 					});
 }
@@ -234,7 +234,7 @@
 	}
 	if (!this->mayHandleNow())
 	{
-		this->refuse(decoded->id, target, _reply, kUnavailable, std::string(nameOf(Reason::Stale)),
+		this->refuse(decoded->id, target, _reply, kUnavailable, std::string(nameOf(Reason::RoutesStale)),
 					 "this node does not know of the newest routes");
 		return;
 	}
@@ -312,7 +312,7 @@
 {
 	if (!this->mayHandleNow())
 	{
-		this->giveUp(_active, Reason::Stale, kRetryElsewhere);
+		this->giveUp(_active, Reason::RoutesStale, kRetryElsewhere);
 		return;
 	}
 	_active->submitted = true;
@@ -326,8 +326,8 @@
 					 _active->request.promptTokens,
 					 _active->request.maxTokens,
 					 _active->prefix};
-	spec.repeat = _active->attempts > 0;
-	spec.nearDomain = _active->prefix == 0 ? this->domainOfResults(*_active) : std::string();
+	spec.isRetry = _active->attempts > 0;
+	spec.preferredDomain = _active->prefix == 0 ? this->domainOfResults(*_active) : std::string();
 	PipelineRow pipeline;
 	pipeline.name = route.name;
 	pipeline.workspace = _active->workspace;
@@ -391,7 +391,7 @@
 	spec.request = this->wire.endpointRequest(active->request, attempt);
 	spec.timeout = active->giveUpAt - now + kCallSlack;
 	spec.connectTimeout = kConnectTimeout;
-	spec.fresh = _attempt.once;
+	spec.fresh = _attempt.atMostOnce;
 	spec.noticeSilence = active->route.repeatable;
 	spec.keepAtMost = idleConnectionsOf(active->plan->pool(active->pool), this->nodes);
 	CallHandlers handlers;
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -249,15 +249,15 @@
 	QJsonArray list;
 	for (const EndpointState& state : this->traffic.endpoints())
 	{
-		const bool aside = state.asideUntil > monotonicNow();
+		const bool aside = state.ejectedUntil > monotonicNow();
 		const char* word = state.endpoint.leaving ? "leaving" : (aside ? "set_aside" : "live");
 		list.append(QJsonObject{{"id", text(state.endpoint.id)},
 								{"address", text(state.endpoint.address)},
 								{"pool", text(state.endpoint.pool)},
 								{"failure_domain", text(state.endpoint.failureDomain)},
 								{"slots", static_cast<qint64>(state.endpoint.slots)},
-								{"own", static_cast<qint64>(state.own)},
-								{"others", state.others},
+								{"own", static_cast<qint64>(state.ownInFlight)},
+								{"others", state.othersInFlight},
 								{"slowness", state.slowness},
 								{"state", word}});
 	}
--- a/src/placement_affinity.cpp
+++ b/src/placement_affinity.cpp
@@ -19,53 +19,53 @@
 namespace
 {
 
-constexpr double kLoadGate = 2.0;
+constexpr double kMaxLoadRatio = 2.0;
 constexpr double kIdleLoad = 0.25; ///< An engine with less than this is never held for busy.
 
-std::uint64_t score(const EndpointState& _endpoint, std::uint64_t _prefix)
+std::uint64_t hashScore(const EndpointState& _endpoint, std::uint64_t _prefix)
 {
 	return XXH3_64bits_withSeed(_endpoint.endpoint.id.data(), _endpoint.endpoint.id.size(), _prefix);
 }
 
-EndpointState* homeOf(const PlacementInput& _input)
+EndpointState* homeEndpoint(const PlacementInput& _input)
 {
 	return prefixHome(_input.usable, _input.prefix);
 }
 
-Placement leastFinish(const PlacementInput& _input)
+Placement chooseByLeastFinish(const PlacementInput& _input)
 {
 	static const PlacementPolicy* s_policy = findPlacement("least_finish");
 	return s_policy->choose(_input);
 }
 
-bool hasRoom(const PlacementInput& _input, const EndpointState* _endpoint)
+bool hasFreeSlot(const PlacementInput& _input, const EndpointState* _endpoint)
 {
 	return std::find(_input.candidates.begin(), _input.candidates.end(), _endpoint) != _input.candidates.end();
 }
 
-Placement homeOrReluctantly(const PlacementInput& _input, EndpointState* _home)
+Placement homeOrFallback(const PlacementInput& _input, EndpointState* _home)
 {
-	if (hasRoom(_input, _home))
+	if (hasFreeSlot(_input, _home))
 	{
 		return PlaceAt{_home};
 	}
-	return PlaceReluctantly{std::get<PlaceAt>(leastFinish(_input)).endpoint};
+	return PlaceFallback{std::get<PlaceAt>(chooseByLeastFinish(_input)).endpoint};
 }
 
 Placement chooseAffinity(const PlacementInput& _input)
 {
-	return _input.prefix == 0 ? leastFinish(_input) : homeOrReluctantly(_input, homeOf(_input));
+	return _input.prefix == 0 ? chooseByLeastFinish(_input) : homeOrFallback(_input, homeEndpoint(_input));
 }
 
 Placement chooseAffinityGated(const PlacementInput& _input)
 {
 	if (_input.prefix == 0)
 	{
-		return leastFinish(_input);
+		return chooseByLeastFinish(_input);
 	}
-	EndpointState* home = homeOf(_input);
-	const bool busy = home->load() > std::max(kIdleLoad, kLoadGate * _input.meanLoad);
-	return busy ? leastFinish(_input) : homeOrReluctantly(_input, home);
+	EndpointState* home = homeEndpoint(_input);
+	const bool overloaded = home->load() > std::max(kIdleLoad, kMaxLoadRatio * _input.meanLoad);
+	return overloaded ? chooseByLeastFinish(_input) : homeOrFallback(_input, home);
 }
 
 } // namespace
@@ -74,7 +74,7 @@
 {
 	return *std::max_element(_usable.begin(), _usable.end(),
 							 [&](const EndpointState* _left, const EndpointState* _right)
-							 { return score(*_left, _prefix) < score(*_right, _prefix); });
+							 { return hashScore(*_left, _prefix) < hashScore(*_right, _prefix); });
 }
 
 namespace
--- a/src/placement_baselines.cpp
+++ b/src/placement_baselines.cpp
@@ -18,8 +18,8 @@
 
 Placement chooseRoundRobin(const PlacementInput& _input)
 {
-	const std::size_t index = _input.turn % _input.candidates.size();
-	_input.turn += 1;
+	const std::size_t index = _input.roundRobinCounter % _input.candidates.size();
+	_input.roundRobinCounter += 1;
 	return PlaceAt{_input.candidates[index]};
 }
 
@@ -27,7 +27,7 @@
 {
 	return PlaceAt{*std::min_element(_input.candidates.begin(), _input.candidates.end(),
 									 [](const EndpointState* _left, const EndpointState* _right)
-									 { return _left->own < _right->own; })};
+									 { return _left->ownInFlight < _right->ownInFlight; })};
 }
 
 Placement choosePowerOfTwo(const PlacementInput& _input)
--- a/src/pool_queue.cpp
+++ b/src/pool_queue.cpp
@@ -17,117 +17,117 @@
 {
 }
 
-std::string PoolQueue::groupOf(const Waiting& _waiting) const
+std::string PoolQueue::groupOf(const QueuedRequest& _request) const
 {
-	return this->ordering == Ordering::Fifo ? std::string() : _waiting.workspace;
+	return this->ordering == Ordering::Fifo ? std::string() : _request.workspace;
 }
 
-PoolQueue::Key PoolQueue::keyOfWaiting(const Waiting& _waiting) const
+PoolQueue::Key PoolQueue::queueKey(const QueuedRequest& _request) const
 {
 	// Request numbers count up, so that they give the order of arrival.
-	const Micros deadline = this->ordering == Ordering::Fifo ? 0 : _waiting.deadline;
-	return {deadline, _waiting.request};
+	const Micros deadline = this->ordering == Ordering::Fifo ? 0 : _request.deadline;
+	return {deadline, _request.id};
 }
 
-void PoolQueue::push(const Waiting& _waiting, double _weight)
+void PoolQueue::push(const QueuedRequest& _request, double _weight)
 {
 	this->count += 1;
-	const Key key = this->keyOfWaiting(_waiting);
-	if (_waiting.urgent && this->ordering == Ordering::DeadlineFair)
+	const Key key = this->queueKey(_request);
+	if (_request.urgent && this->ordering == Ordering::DeadlineFair)
 	{
-		this->urgent.waiting.emplace(key, _waiting);
-		this->urgent.work += _waiting.work;
+		this->urgent.requests.emplace(key, _request);
+		this->urgent.workUs += _request.workUs;
 		return;
 	}
-	Group& group = this->groups[this->groupOf(_waiting)];
-	if (group.waiting.empty())
+	Group& group = this->groups[this->groupOf(_request)];
+	if (group.requests.empty())
 	{
 		group.virtualTime = std::max(group.virtualTime, this->virtualNow);
 		group.weight = _weight;
 		this->totalWeight += _weight;
 	}
-	group.waiting.emplace(key, _waiting);
-	group.work += _waiting.work;
-	this->totalWork += _waiting.work;
+	group.requests.emplace(key, _request);
+	group.workUs += _request.workUs;
+	this->totalWorkUs += _request.workUs;
 }
 
-void PoolQueue::remove(const Waiting& _waiting)
+void PoolQueue::remove(const QueuedRequest& _request)
 {
-	const Key key = this->keyOfWaiting(_waiting);
-	if (this->urgent.waiting.erase(key) > 0)
+	const Key key = this->queueKey(_request);
+	if (this->urgent.requests.erase(key) > 0)
 	{
-		this->urgent.work -= _waiting.work;
+		this->urgent.workUs -= _request.workUs;
 		this->count -= 1;
 		return;
 	}
-	const auto found = this->groups.find(this->groupOf(_waiting));
-	if (found == this->groups.end() || found->second.waiting.erase(key) == 0)
+	const auto found = this->groups.find(this->groupOf(_request));
+	if (found == this->groups.end() || found->second.requests.erase(key) == 0)
 	{
 		return;
 	}
 	this->count -= 1;
-	this->totalWork -= _waiting.work;
-	found->second.work -= _waiting.work;
-	if (found->second.waiting.empty())
+	this->totalWorkUs -= _request.workUs;
+	found->second.workUs -= _request.workUs;
+	if (found->second.requests.empty())
 	{
 		this->totalWeight -= found->second.weight;
 		this->groups.erase(found);
 	}
 }
 
-std::vector<Waiting> PoolQueue::window(std::size_t _most) const
+std::vector<QueuedRequest> PoolQueue::nextRequests(std::size_t _maxCount) const
 {
-	std::vector<Waiting> result;
-	for (const auto& entry : this->urgent.waiting)
+	std::vector<QueuedRequest> result;
+	for (const auto& entry : this->urgent.requests)
 	{
-		if (result.size() == _most)
+		if (result.size() == _maxCount)
 		{
 			return result;
 		}
 		result.push_back(entry.second);
 	}
 	// What would leave next, worked out on copies of the workspaces' virtual times.
-	struct Turn
+	struct Cursor
 	{
 		double virtualTime;
 		const Group* group;
-		std::map<Key, Waiting>::const_iterator next;
+		std::map<Key, QueuedRequest>::const_iterator next;
 	};
-	const auto later = [](const Turn& _left, const Turn& _right) { return _left.virtualTime > _right.virtualTime; };
-	std::vector<Turn> turns;
+	const auto later = [](const Cursor& _left, const Cursor& _right) { return _left.virtualTime > _right.virtualTime; };
+	std::vector<Cursor> cursors;
 	for (const auto& entry : this->groups)
 	{
-		turns.push_back(Turn{entry.second.virtualTime, &entry.second, entry.second.waiting.begin()});
+		cursors.push_back(Cursor{entry.second.virtualTime, &entry.second, entry.second.requests.begin()});
 	}
-	std::make_heap(turns.begin(), turns.end(), later);
-	while (result.size() < _most && !turns.empty())
+	std::make_heap(cursors.begin(), cursors.end(), later);
+	while (result.size() < _maxCount && !cursors.empty())
 	{
-		std::pop_heap(turns.begin(), turns.end(), later);
-		Turn& turn = turns.back();
-		result.push_back(turn.next->second);
-		turn.virtualTime += turn.next->second.work / turn.group->weight;
-		++turn.next;
-		if (turn.next == turn.group->waiting.end())
+		std::pop_heap(cursors.begin(), cursors.end(), later);
+		Cursor& cursor = cursors.back();
+		result.push_back(cursor.next->second);
+		cursor.virtualTime += cursor.next->second.workUs / cursor.group->weight;
+		++cursor.next;
+		if (cursor.next == cursor.group->requests.end())
 		{
-			turns.pop_back();
+			cursors.pop_back();
 			continue;
 		}
-		std::push_heap(turns.begin(), turns.end(), later);
+		std::push_heap(cursors.begin(), cursors.end(), later);
 	}
 	return result;
 }
 
-void PoolQueue::take(const Waiting& _waiting)
+void PoolQueue::take(const QueuedRequest& _request)
 {
-	const auto found = this->groups.find(this->groupOf(_waiting));
-	const bool fair = this->urgent.waiting.count(this->keyOfWaiting(_waiting)) == 0 && found != this->groups.end();
-	if (fair)
+	const auto found = this->groups.find(this->groupOf(_request));
+	const bool inGroup = this->urgent.requests.count(this->queueKey(_request)) == 0 && found != this->groups.end();
+	if (inGroup)
 	{
 		Group& group = found->second;
 		this->virtualNow = std::max(this->virtualNow, group.virtualTime);
-		group.virtualTime += _waiting.work / group.weight;
+		group.virtualTime += _request.workUs / group.weight;
 	}
-	this->remove(_waiting);
+	this->remove(_request);
 }
 
 std::size_t PoolQueue::size() const
@@ -135,24 +135,24 @@
 	return this->count;
 }
 
-double PoolQueue::workBefore(const std::string& _workspace, double _weight, bool _urgent) const
+double PoolQueue::workAheadUs(const std::string& _workspace, double _weight, bool _urgent) const
 {
 	if (_urgent)
 	{
-		return this->urgent.work;
+		return this->urgent.workUs;
 	}
-	const double all = this->urgent.work + this->totalWork;
+	const double totalUs = this->urgent.workUs + this->totalWorkUs;
 	const auto found = this->groups.find(this->ordering == Ordering::Fifo ? std::string() : _workspace);
 	if (this->ordering == Ordering::Fifo)
 	{
-		return all;
+		return totalUs;
 	}
 	// Its own backlog drains at its share of the pool, which is the same as having all shares' work before it.
-	const bool waits = found != this->groups.end();
-	const double own = waits ? found->second.work : 0;
-	const double weights = this->totalWeight + (waits ? 0 : _weight);
-	const double byShare = this->urgent.work + own * weights / _weight;
-	return std::min(all, byShare);
+	const bool hasBacklog = found != this->groups.end();
+	const double ownUs = hasBacklog ? found->second.workUs : 0;
+	const double activeWeight = this->totalWeight + (hasBacklog ? 0 : _weight);
+	const double byShareUs = this->urgent.workUs + ownUs * activeWeight / _weight;
+	return std::min(totalUs, byShareUs);
 }
 
 } // namespace roadferry
--- a/src/pool_queue.h
+++ b/src/pool_queue.h
@@ -15,12 +15,12 @@
 {
 
 /// One request that waits.
-struct Waiting
+struct QueuedRequest
 {
-	std::uint64_t request = 0;
+	std::uint64_t id = 0;
 	std::string workspace;
 	Micros deadline = 0;
-	double work = 0; ///< Predicted service time of the stage in microseconds.
+	double workUs = 0; ///< Predicted service time of the stage in microseconds.
 	bool urgent = false;
 };
 
@@ -32,18 +32,18 @@
 	explicit PoolQueue(Ordering _ordering);
 
 	/// Adds a request.
-	/// @param[in] _waiting The request.
+	/// @param[in] _request The request.
 	/// @param[in] _weight Weight of its workspace, above zero.
-	void push(const Waiting& _waiting, double _weight);
+	void push(const QueuedRequest& _request, double _weight);
 
 	/// Removes a request if it waits here.
-	void remove(const Waiting& _waiting);
+	void remove(const QueuedRequest& _request);
 
 	/// @returns The requests that would leave next, at most so many, in that order.
-	[[nodiscard]] std::vector<Waiting> window(std::size_t _most) const;
+	[[nodiscard]] std::vector<QueuedRequest> nextRequests(std::size_t _maxCount) const;
 
 	/// Takes a request out and charges its workspace for it.
-	void take(const Waiting& _waiting);
+	void take(const QueuedRequest& _request);
 
 	[[nodiscard]] std::size_t size() const;
 
@@ -52,27 +52,27 @@
 	/// @param[in] _weight Its weight.
 	/// @param[in] _urgent Whether it is urgent.
 	/// @returns Predicted microseconds of service that leave the queue before it.
-	[[nodiscard]] double workBefore(const std::string& _workspace, double _weight, bool _urgent) const;
+	[[nodiscard]] double workAheadUs(const std::string& _workspace, double _weight, bool _urgent) const;
 
 private:
 	using Key = std::pair<Micros, std::uint64_t>;
 
 	struct Group
 	{
-		std::map<Key, Waiting> waiting;
+		std::map<Key, QueuedRequest> requests;
 		double weight = 1;
 		double virtualTime = 0;
-		double work = 0;
+		double workUs = 0;
 	};
 
-	[[nodiscard]] std::string groupOf(const Waiting& _waiting) const;
-	[[nodiscard]] Key keyOfWaiting(const Waiting& _waiting) const;
+	[[nodiscard]] std::string groupOf(const QueuedRequest& _request) const;
+	[[nodiscard]] Key queueKey(const QueuedRequest& _request) const;
 
 	Ordering ordering;
 	Group urgent;
 	std::map<std::string, Group> groups;
 	double virtualNow = 0;
-	double totalWork = 0;
+	double totalWorkUs = 0;
 	double totalWeight = 0;
 	std::size_t count = 0;
 };
--- a/src/predictor.cpp
+++ b/src/predictor.cpp
@@ -17,12 +17,12 @@
 namespace
 {
 
-constexpr std::int64_t kSamplesNeeded = 8;
+constexpr std::int64_t kMinSamples = 8;
 constexpr double kSmoothing = 0.1;
 /// Prompt tokens that cost about as much as one generated token.
 constexpr double kPromptTokensPerUnit = 16.0;
 
-double unitsOf(const StageRow& _stage, const RequestSpec& _request)
+double workUnits(const StageRow& _stage, const RequestSpec& _request)
 {
 	if (_stage.kind != StageKind::Engine)
 	{
@@ -35,28 +35,28 @@
 
 } // namespace
 
-double Predictor::serviceTime(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request,
-							  double _deviations) const
+double Predictor::serviceTimeUs(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request,
+								double _deviations) const
 {
 	const auto found = this->estimates.find({_pipeline, _stage.name});
-	if (found == this->estimates.end() || found->second.samples < kSamplesNeeded)
+	if (found == this->estimates.end() || found->second.samples < kMinSamples)
 	{
 		return static_cast<double>(_stage.expectedMs * kMillisecond);
 	}
 	const Estimate& estimate = found->second;
-	return (estimate.mean + _deviations * estimate.deviation) * unitsOf(_stage, _request);
+	return (estimate.mean + _deviations * estimate.deviation) * workUnits(_stage, _request);
 }
 
-void Predictor::measured(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request,
-						 double _time)
+void Predictor::record(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request,
+					   double _measuredUs)
 {
 	Estimate& estimate = this->estimates[{_pipeline, _stage.name}];
-	const double sample = _time / unitsOf(_stage, _request);
+	const double sample = _measuredUs / workUnits(_stage, _request);
 	estimate.samples += 1;
-	const double share = std::max(kSmoothing, 1.0 / static_cast<double>(estimate.samples));
+	const double gain = std::max(kSmoothing, 1.0 / static_cast<double>(estimate.samples));
 	const double error = sample - estimate.mean;
-	estimate.mean += share * error;
-	estimate.deviation += share * (std::abs(error) - estimate.deviation);
+	estimate.mean += gain * error;
+	estimate.deviation += gain * (std::abs(error) - estimate.deviation);
 	if (estimate.samples == 1)
 	{
 		estimate.deviation = 0;
--- a/src/predictor.h
+++ b/src/predictor.h
@@ -24,11 +24,11 @@
 	/// @param[in] _request The request, for its token counts.
 	/// @param[in] _deviations Deviations added to the mean.
 	/// @returns Microseconds.
-	[[nodiscard]] double serviceTime(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request,
-									 double _deviations) const;
+	[[nodiscard]] double serviceTimeUs(const std::string& _pipeline, const StageRow& _stage,
+									   const RequestSpec& _request, double _deviations) const;
 
 	/// Takes a measured service time in microseconds.
-	void measured(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request, double _time);
+	void record(const std::string& _pipeline, const StageRow& _stage, const RequestSpec& _request, double _measuredUs);
 
 private:
 	struct Estimate
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -20,23 +20,23 @@
 public:
 	/// @param[in] _share Retries earned by one first attempt.
 	/// @param[in] _burst Most retries saved up; the budget begins full.
-	RetryBudget(double _share, double _burst) : share(_share), burst(_burst), saved(_burst)
+	RetryBudget(double _share, double _burst) : share(_share), burst(_burst), available(_burst)
 	{
 	}
 
-	void firstAttempt()
+	void recordFirstAttempt()
 	{
-		this->saved = std::min(this->burst, this->saved + this->share);
+		this->available = std::min(this->burst, this->available + this->share);
 	}
 
 	/// @returns Whether a retry may be made; if so it is paid for.
-	bool takeRetry()
+	bool tryTakeRetry()
 	{
-		if (this->saved < 1)
+		if (this->available < 1)
 		{
 			return false;
 		}
-		this->saved -= 1;
+		this->available -= 1;
 		return true;
 	}
 
@@ -45,13 +45,13 @@
 	{
 		this->share = _share;
 		this->burst = _burst;
-		this->saved = std::min(this->saved, _burst);
+		this->available = std::min(this->available, _burst);
 	}
 
 private:
 	double share;
 	double burst;
-	double saved;
+	double available;
 };
 
 } // namespace roadferry
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -305,7 +305,7 @@
 	_settings.leavingWithin = _checker.whole("leaving_within_ms", FLAGS_leaving_within_ms, 500, 60'000) * kMillisecond;
 	_settings.retrySlack = _checker.number("retry_slack", FLAGS_retry_slack, 0, 100'000);
 	_settings.sharedBatches = FLAGS_shared_batches;
-	_settings.dispatcher.spareConnects = kSpareConnects;
+	_settings.dispatcher.maxExtraConnects = kSpareConnects;
 }
 
 void readHttp(Checker& _checker, HttpServerLimits& _limits)
--- a/src/stage_call.cpp
+++ b/src/stage_call.cpp
@@ -30,7 +30,7 @@
 	QJsonObject object{{"attempt", text(_spec.attemptText)},
 					   {"request", text(_spec.requestText)},
 					   {"stage", text(_spec.attempt.stage)},
-					   {"once", _spec.attempt.once},
+					   {"once", _spec.attempt.atMostOnce},
 					   {"input", _spec.input}};
 	if (!_spec.previous.isUndefined())
 	{
@@ -131,7 +131,7 @@
 			result.end = AttemptNotSent{};
 			return result;
 		}
-		result.end = AttemptCut{};
+		result.end = AttemptInterrupted{};
 		if (_end.result == CallResult::Cut)
 		{
 			return result;
@@ -211,7 +211,7 @@
 	CallSpec call;
 	call.address = _spec.attempt.address;
 	call.timeout = _spec.timeout;
-	call.fresh = _spec.attempt.once;
+	call.fresh = _spec.attempt.atMostOnce;
 	call.request.method = "POST";
 	call.request.target = "/v1/run";
 	call.request.headers = {{"Content-Type", "application/json"}, {"traceparent", _spec.trace.header()}};
--- a/src/subset.cpp
+++ b/src/subset.cpp
@@ -15,7 +15,8 @@
 namespace roadferry
 {
 
-std::vector<Endpoint> subsetOf(const std::string& _node, const std::vector<Endpoint>& _endpoints, std::size_t _perPool)
+std::vector<Endpoint> selectSubset(const std::string& _node, const std::vector<Endpoint>& _endpoints,
+								   std::size_t _perPool)
 {
 	const std::uint64_t seed = XXH3_64bits(_node.data(), _node.size());
 	std::map<std::string, std::vector<std::pair<std::uint64_t, const Endpoint*>>> pools;
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -351,7 +351,7 @@
 	spec.previous = active.previous;
 	spec.maxTokens = active.submission.maxTokens;
 	spec.resume = static_cast<std::int64_t>(active.tokens.size());
-	spec.timeout = _attempt.giveUpAt - active.attemptBegan;
+	spec.timeout = _attempt.deadline - active.attemptBegan;
 	spec.trace = active.attemptSpan.context;
 
 	StageCallHandlers handlers;
@@ -582,7 +582,7 @@
 void Traffic::setNodes(std::size_t _nodes)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	this->dispatcher.setNodes(_nodes);
+	this->dispatcher.setNodeCount(_nodes);
 }
 
 void Traffic::setShare(const std::string& _workspace, std::int64_t _inFlight)
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -45,20 +45,20 @@
 }
 
 /// What the oracle knows of one request.
-struct Seen
+struct RequestRecord
 {
 	RequestSpec spec;
-	std::map<std::string, int> sentOnce; ///< Attempts of stages that may not be repeated, whose bytes were sent.
+	std::map<std::string, int> atMostOnceSends; ///< Attempts of stages that may not be repeated, whose bytes were sent.
 	bool anySent = false;
-	bool anyOnceSent = false;
+	bool anyAtMostOnceSent = false;
 	std::size_t stagesAnswered = 0;
 	std::optional<Outcome> outcome;
 };
 
-class World
+class DispatcherModel
 {
 public:
-	explicit World(std::int64_t _limit) : limit(_limit), dispatcher(config())
+	explicit DispatcherModel(std::int64_t _limit) : limit(_limit), dispatcher(config())
 	{
 		this->dispatcher.setTable(makeTable(_limit));
 		for (const char* pool : {"encoders", "engines", "services"})
@@ -89,8 +89,8 @@
 		spec.deadline = this->now + *rc::gen::inRange<Micros>(1, 3000) * kMillisecond;
 		spec.repeatable = *rc::gen::arbitrary<bool>();
 		spec.maxTokens = *rc::gen::inRange(0, 200);
-		this->seen[spec.id].spec = spec;
-		this->take(this->dispatcher.submit(spec, this->now));
+		this->records[spec.id].spec = spec;
+		this->apply(this->dispatcher.submit(spec, this->now));
 	}
 
 	void endAttempt()
@@ -108,79 +108,79 @@
 		const StartAttempt action = this->running.at(attempt);
 		this->running.erase(attempt);
 		const AttemptEnd end = *rc::gen::weightedElement<AttemptEnd>(
-			{{6, AttemptAnswered{}}, {1, AttemptNotSent{}}, {1, AttemptRefused{}}, {2, AttemptCut{}}});
-		this->noteEnd(action, end);
-		this->take(this->dispatcher.attemptEnded(attempt, end, this->now));
+			{{6, AttemptAnswered{}}, {1, AttemptNotSent{}}, {1, AttemptRefused{}}, {2, AttemptInterrupted{}}});
+		this->recordEnd(action, end);
+		this->apply(this->dispatcher.attemptEnded(attempt, end, this->now));
 		// A late copy of the same answer changes nothing.
 		RC_ASSERT(this->dispatcher.attemptEnded(attempt, AttemptAnswered{}, this->now).empty());
 	}
 
-	void noteEnd(const StartAttempt& _action, const AttemptEnd& _end)
+	void recordEnd(const StartAttempt& _action, const AttemptEnd& _end)
 	{
-		Seen& request = this->seen.at(_action.request);
+		RequestRecord& request = this->records.at(_action.request);
 		const bool answered = std::holds_alternative<AttemptAnswered>(_end);
-		const bool sent = answered || std::holds_alternative<AttemptCut>(_end);
+		const bool sent = answered || std::holds_alternative<AttemptInterrupted>(_end);
 		request.stagesAnswered += answered ? 1 : 0;
-		this->noteSent(request, _action, sent);
+		this->recordSent(request, _action, sent);
 	}
 
-	void noteSent(Seen& _request, const StartAttempt& _action, bool _sent)
+	void recordSent(RequestRecord& _request, const StartAttempt& _action, bool _sent)
 	{
 		if (!_sent)
 		{
 			return;
 		}
 		_request.anySent = true;
-		if (_action.once)
+		if (_action.atMostOnce)
 		{
-			_request.anyOnceSent = true;
-			_request.sentOnce[_action.stage] += 1;
-			RC_ASSERT(_request.sentOnce[_action.stage] <= 1);
+			_request.anyAtMostOnceSent = true;
+			_request.atMostOnceSends[_action.stage] += 1;
+			RC_ASSERT(_request.atMostOnceSends[_action.stage] <= 1);
 		}
 	}
 
-	void take(const Actions& _actions)
+	void apply(const Actions& _actions)
 	{
 		for (const Action& action : _actions)
 		{
 			std::visit(
 				Overloaded{
-					[&](const StartAttempt& _typed) { this->started(_typed); },
-					[&](const CancelAttempt& _typed) { this->cancelled(_typed); },
-					[&](const FinishRequest& _typed) { this->finished(_typed); },
+					[&](const StartAttempt& _typed) { this->onStart(_typed); },
+					[&](const CancelAttempt& _typed) { this->onCancel(_typed); },
+					[&](const FinishRequest& _typed) { this->onFinish(_typed); },
 				},
 				action);
 		}
 		this->check();
 	}
 
-	void started(const StartAttempt& _action)
+	void onStart(const StartAttempt& _action)
 	{
-		const Seen& request = this->seen.at(_action.request);
+		const RequestRecord& request = this->records.at(_action.request);
 		RC_ASSERT(!request.outcome.has_value());
 		RC_ASSERT(_action.stageIndex == request.stagesAnswered);
-		RC_ASSERT(this->gone.count(_action.endpoint) == 0);
+		RC_ASSERT(this->leavingEndpoints.count(_action.endpoint) == 0);
 		RC_ASSERT(this->running.emplace(_action.attempt, _action).second);
 		for (const auto& entry : this->running)
 		{
 			RC_ASSERT(entry.first == _action.attempt || entry.second.request != _action.request);
 		}
-		const bool effect = _action.kind == StageKind::Engine || _action.kind == StageKind::Service;
-		RC_ASSERT(_action.once == (_action.stage == "pay" || (effect && !request.spec.repeatable)));
+		const bool hasEffect = _action.kind == StageKind::Engine || _action.kind == StageKind::Service;
+		RC_ASSERT(_action.atMostOnce == (_action.stage == "pay" || (hasEffect && !request.spec.repeatable)));
 	}
 
-	void cancelled(const CancelAttempt& _action)
+	void onCancel(const CancelAttempt& _action)
 	{
 		const auto found = this->running.find(_action.attempt);
 		RC_ASSERT(found != this->running.end());
 		// How far it came is not known: the oracle counts it as sent.
-		this->noteSent(this->seen.at(_action.request), found->second, true);
+		this->recordSent(this->records.at(_action.request), found->second, true);
 		this->running.erase(found);
 	}
 
-	void finished(const FinishRequest& _action)
+	void onFinish(const FinishRequest& _action)
 	{
-		Seen& request = this->seen.at(_action.request);
+		RequestRecord& request = this->records.at(_action.request);
 		RC_ASSERT(!request.outcome.has_value());
 		request.outcome = _action.outcome;
 		if (_action.outcome.verdict == Verdict::NotRun)
@@ -195,19 +195,19 @@
 		}
 		if (_action.outcome.repeatSafe)
 		{
-			RC_ASSERT(!request.anyOnceSent);
+			RC_ASSERT(!request.anyAtMostOnceSent);
 		}
 	}
 
-	void leave()
+	void markEndpointLeaving()
 	{
 		const std::string id = (*rc::gen::elementOf(this->endpoints)).id;
-		this->gone.insert(id);
+		this->leavingEndpoints.insert(id);
 		this->dispatcher.markLeaving(id);
 	}
 
 	/// A lagging list that still shows endpoints that are leaving.
-	void relist()
+	void resendEndpointList()
 	{
 		this->dispatcher.setEndpoints(this->endpoints);
 	}
@@ -216,48 +216,48 @@
 	{
 		if (this->lastId > 0)
 		{
-			this->take(this->dispatcher.cancel(*rc::gen::inRange<std::uint64_t>(1, this->lastId + 1), this->now));
+			this->apply(this->dispatcher.cancel(*rc::gen::inRange<std::uint64_t>(1, this->lastId + 1), this->now));
 		}
 	}
 
-	void pass()
+	void advanceTime()
 	{
 		this->now += *rc::gen::inRange<Micros>(1, 500) * kMillisecond;
-		this->take(this->dispatcher.tick(this->now));
+		this->apply(this->dispatcher.tick(this->now));
 	}
 
 	void check() const
 	{
-		std::int64_t hall = 0;
-		std::size_t open = 0;
-		for (const auto& entry : this->seen)
+		std::int64_t hallUnfinished = 0;
+		std::size_t unfinishedCount = 0;
+		for (const auto& entry : this->records)
 		{
-			const bool flying = !entry.second.outcome.has_value();
-			open += flying ? 1 : 0;
-			hall += flying && entry.second.spec.workspace == "hall" ? 1 : 0;
+			const bool unfinished = !entry.second.outcome.has_value();
+			unfinishedCount += unfinished ? 1 : 0;
+			hallUnfinished += unfinished && entry.second.spec.workspace == "hall" ? 1 : 0;
 		}
-		RC_ASSERT(this->dispatcher.inFlight() <= open);
-		RC_ASSERT(hall <= this->limit + 1);
+		RC_ASSERT(this->dispatcher.inFlight() <= unfinishedCount);
+		RC_ASSERT(hallUnfinished <= this->limit + 1);
 		const auto counted = this->dispatcher.inFlightByWorkspace();
 		const auto found = counted.find("hall");
-		const std::int64_t flyingNow = found == counted.end() ? 0 : found->second;
-		RC_ASSERT(flyingNow <= this->limit);
+		const std::int64_t hallInFlight = found == counted.end() ? 0 : found->second;
+		RC_ASSERT(hallInFlight <= this->limit);
 	}
 
 	/// In the end each request has exactly one outcome, and nothing is left running.
-	void settle()
+	void finishAll()
 	{
 		this->now += 10 * kSecond;
-		this->take(this->dispatcher.tick(this->now));
+		this->apply(this->dispatcher.tick(this->now));
 		RC_ASSERT(this->dispatcher.inFlight() == 0U);
 		RC_ASSERT(this->running.empty());
-		for (const auto& entry : this->seen)
+		for (const auto& entry : this->records)
 		{
 			RC_ASSERT(entry.second.outcome.has_value());
 		}
 		for (const EndpointState& endpoint : this->dispatcher.endpoints())
 		{
-			RC_ASSERT(endpoint.own == 0);
+			RC_ASSERT(endpoint.ownInFlight == 0);
 		}
 	}
 
@@ -265,14 +265,14 @@
 	std::int64_t limit;
 	Dispatcher dispatcher;
 	std::vector<Endpoint> endpoints;
-	std::map<std::uint64_t, Seen> seen;
+	std::map<std::uint64_t, RequestRecord> records;
 	std::map<std::uint64_t, StartAttempt> running;
-	std::set<std::string> gone;
+	std::set<std::string> leavingEndpoints;
 	std::uint64_t lastId = 0;
 	Micros now = kSecond;
 };
 
-void step(World& _world)
+void step(DispatcherModel& _model)
 {
 	switch (*rc::gen::inRange(0, 12))
 	{
@@ -280,25 +280,25 @@
 	case 1:
 	case 2:
 	case 3:
-		_world.submit();
+		_model.submit();
 		break;
 	case 4:
 	case 5:
 	case 6:
 	case 7:
-		_world.endAttempt();
+		_model.endAttempt();
 		break;
 	case 8:
-		_world.cancel();
+		_model.cancel();
 		break;
 	case 9:
-		_world.leave();
+		_model.markEndpointLeaving();
 		break;
 	case 10:
-		_world.relist();
+		_model.resendEndpointList();
 		break;
 	default:
-		_world.pass();
+		_model.advanceTime();
 		break;
 	}
 }
@@ -310,12 +310,12 @@
 	checkHistories("dispatcher",
 				   []
 				   {
-					   World world(*rc::gen::inRange<std::int64_t>(1, 12));
+					   DispatcherModel model(*rc::gen::inRange<std::int64_t>(1, 12));
 					   const int steps = *rc::gen::inRange(1, 150);
 					   for (int index = 0; index < steps; ++index)
 					   {
-						   step(world);
+						   step(model);
 					   }
-					   world.settle();
+					   model.finishAll();
 				   });
 }
--- a/tools/bench_cases.cpp
+++ b/tools/bench_cases.cpp
@@ -100,8 +100,8 @@
 	config.placement = _placement;
 	config.ordering = Ordering::Fifo;
 	config.admitByDeadline = false;
-	config.dropDoomed = false;
-	config.setAside = false;
+	config.dropInfeasible = false;
+	config.ejectOutliers = false;
 	config.urgentReserve = 0;
 	return config;
 }
--- a/tools/bench_decisions.cpp
+++ b/tools/bench_decisions.cpp
@@ -135,12 +135,12 @@
 	{
 		const std::string name = "node-" + std::to_string(node);
 		std::set<std::string> before;
-		for (const Endpoint& endpoint : subsetOf(name, engines, kPerPool))
+		for (const Endpoint& endpoint : selectSubset(name, engines, kPerPool))
 		{
 			before.insert(endpoint.id);
 			users[endpoint.id] += 1;
 		}
-		for (const Endpoint& endpoint : subsetOf(name, fewer, kPerPool))
+		for (const Endpoint& endpoint : selectSubset(name, fewer, kPerPool))
 		{
 			moved += before.count(endpoint.id) == 0 ? 1 : 0;
 		}
--- a/tools/bench_run.cpp
+++ b/tools/bench_run.cpp
@@ -64,10 +64,10 @@
 			DispatcherConfig config = _config;
 			config.seed = node + 1;
 			this->nodes.push_back(std::make_unique<Dispatcher>(config));
-			this->nodes.back()->setNodes(_case.nodes);
+			this->nodes.back()->setNodeCount(_case.nodes);
 			this->nodes.back()->setTable(this->table);
 			const std::string name = "node-" + std::to_string(node);
-			this->nodes.back()->setEndpoints(subsetOf(name, this->list, _case.endpointsPerPool));
+			this->nodes.back()->setEndpoints(selectSubset(name, this->list, _case.endpointsPerPool));
 		}
 	}
 
@@ -273,7 +273,7 @@
 		this->advance(endpoint);
 		if (endpoint.failing)
 		{
-			this->answer(_endpoint, _job, AttemptCut{});
+			this->answer(_endpoint, _job, AttemptInterrupted{});
 			return;
 		}
 		endpoint.add(_job, this->now);
--- a/tools/roadferry_bench.cpp
+++ b/tools/roadferry_bench.cpp
@@ -40,7 +40,7 @@
 	list.push_back({"least_in_flight", baselineConfig("least_in_flight")});
 	DispatcherConfig config = baselineConfig("least_finish");
 	list.push_back({"least_finish", config});
-	config.dropDoomed = true;
+	config.dropInfeasible = true;
 	list.push_back({"+drop_doomed", config});
 	config.admitByDeadline = true;
 	list.push_back({"+admit_by_deadline", config});
@@ -48,7 +48,7 @@
 	list.push_back({"+deadline_fair", config});
 	config.urgentReserve = 0.1;
 	list.push_back({"+urgent_reserve", config});
-	config.setAside = true;
+	config.ejectOutliers = true;
 	list.push_back({"+set_aside", config});
 	config.placement = "affinity";
 	list.push_back({"+affinity", config});
@@ -57,7 +57,7 @@
 	for (const double margin : {0.0, 1.5, 2.0})
 	{
 		DispatcherConfig other = config;
-		other.lateMargin = margin;
+		other.marginDeviations = margin;
 		list.push_back({margin == 0.0 ? "margin 0" : (margin == 1.5 ? "margin 1.5" : "margin 2"), other});
 	}
 	list.push_back({"product", DispatcherConfig{}});
