--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -4,11 +4,12 @@
  */
 
 /// @file
-/// Public interface of the roadferry library: the decisions of a serving system for multi-stage model pipelines.
+/// Public interface of the roadferry library: decision logic of a serving system for multi-stage model pipelines.
 ///
-/// Everything in this header is a value type or a state machine. A state machine is given an event and a time and
-/// returns what is to be done; it opens no socket, reads no clock, starts no thread and has no random source other
-/// than the seed it is given. The daemon, the stateful tests and the benchmarks therefore run the same code.
+/// Everything in this header is a value type or a state machine. A state machine takes an event and the current time
+/// and returns the actions to perform. It opens no socket, reads no clock, starts no thread, and uses no source of
+/// randomness other than the seed it is given. The daemon, the property tests and the benchmarks therefore run the
+/// same code.
 
 #ifndef ROADFERRY_H_HEADER_GUARD
 #define ROADFERRY_H_HEADER_GUARD
@@ -305,9 +306,9 @@
 /// How a request ended.
 enum class Verdict
 {
-	Answered, ///< The whole answer is there.
-	NotRun,   ///< Certain: no byte of it was sent to any endpoint.
-	Unknown   ///< It may have run, wholly or in part.
+	Answered, ///< The complete answer was received.
+	NotRun,   ///< No byte of the request was sent to any endpoint.
+	Unknown   ///< The request may have run, completely or in part.
 };
 
 /// Why a request ended as it did.
@@ -317,21 +318,21 @@
 	UnknownPipeline,
 	UnknownStage,
 	WrongWorkspace,
-	WorkspaceLimit, ///< The workspace's limit of requests in flight is reached.
-	WouldBeLate,    ///< Predicted to miss its deadline, refused before anything was sent.
+	WorkspaceLimit, ///< The workspace has reached its limit of requests in flight.
+	WouldBeLate,    ///< Predicted to miss its deadline; refused on arrival or dropped while it waited.
 	QueueFull,
-	NoEndpoint, ///< No live endpoint in a pool.
+	NoEndpoint, ///< A pool has no live endpoint.
 	DeadlinePassed,
 	AttemptsExhausted,
 	RetryBudgetEmpty,
-	CutWhileRunning, ///< The connection ended after bytes of a call that may not be repeated were sent.
+	CutWhileRunning, ///< The connection was lost after bytes of a non-repeatable call were sent.
 	Cancelled,
-	TicketSealed,   ///< An earlier copy was told that it was not run.
-	TicketMismatch, ///< The ticket was used before with another request.
+	TicketSealed,   ///< The ticket was revoked before it was used; its request did not and will not run.
+	TicketMismatch, ///< The ticket was already used for a different request.
 	TicketExpired,
 	IssuerUnreachable,
 	Draining,
-	RoutesStale ///< The node does not know the newest routes and endpoints.
+	RoutesStale ///< The node's routes and endpoint list are out of date.
 };
 
 /// Final state of a request.
@@ -339,9 +340,9 @@
 {
 	Verdict verdict = Verdict::Unknown;
 	Reason reason = Reason::None;
-	bool repeatSafe = false; ///< Whether running the request again can do no harm.
-	Micros retryAfter = 0;   ///< How long to wait before a repeat, 0 when there is no advice.
-	std::string stage;       ///< Stage at which the request ended, empty when none was begun.
+	bool repeatSafe = false; ///< Whether the request can safely be run again.
+	Micros retryAfter = 0;   ///< Suggested delay before a retry, 0 for no suggestion.
+	std::string stage;       ///< Stage at which the request ended, empty if it was refused on arrival or answered.
 	bool operator==(const Outcome&) const = default;
 };
 
@@ -777,10 +778,10 @@
 };
 
 // ---------------------------------------------------------------------------------------------------------------
-// Endpoints: which are live, which are leaving, how busy each one is.
+// Endpoints: membership, leaving endpoints, load.
 // ---------------------------------------------------------------------------------------------------------------
 
-/// An endpoint's own word on how busy it is.
+/// Load that an endpoint reports about itself.
 struct LoadReport
 {
 	std::int64_t running = 0;
@@ -793,44 +794,44 @@
 struct EndpointState
 {
 	Endpoint endpoint;
-	std::int64_t ownInFlight = 0;         ///< Calls of this node in flight.
-	double othersInFlight = 0;            ///< Calls of other nodes, smoothed over reports.
-	double ownWorkUs = 0;                 ///< Predicted microseconds of this node's calls in flight.
-	double smoothedOwnInFlight = 0;       ///< Own calls, smoothed over about the lag of the reports.
-	std::int64_t consecutiveFailures = 0; ///< Failures in a row.
-	Micros ejectedUntil = 0;              ///< Set aside until then; afterwards one probe at a time.
+	std::int64_t ownInFlight = 0;         ///< Calls in flight from this node.
+	double othersInFlight = 0;            ///< Calls in flight from other nodes, smoothed over load reports.
+	double ownWorkUs = 0;                 ///< Predicted service time of this node's calls in flight, in microseconds.
+	double smoothedOwnInFlight = 0;       ///< ownInFlight, smoothed over about the lag of the load reports.
+	std::int64_t consecutiveFailures = 0; ///< Failed calls since the last success.
+	Micros ejectedUntil = 0;              ///< Time point; gets no calls until then, and afterwards one probe at a time.
 	bool probing = false;
-	double slowness = 1; ///< Smoothed ratio of measured to predicted service time.
-	bool listed = true;  ///< On the newest VM list.
+	double slowness = 1; ///< Smoothed ratio of measured to predicted service time, 1 for as predicted.
+	bool listed = true;  ///< Whether it is on the newest VM list.
 
-	/// @returns Calls in flight over slots.
+	/// @returns Calls in flight from all nodes, as a multiple of the endpoint's slots.
 	[[nodiscard]] double load() const;
 
-	/// @returns Whether new work may go to it, apart from room.
+	/// @returns Whether it may receive new calls, regardless of free slots.
 	[[nodiscard]] bool isUsable(Micros _now) const;
 };
 
-/// Chooses the part of each pool that a node uses, by rendezvous hashing: a node or an endpoint that comes or goes
-/// moves few links of the others.
+/// Chooses the subset of each pool that a node uses, by rendezvous hashing: adding or removing a node or an endpoint
+/// changes few of the other node-endpoint pairs.
 /// @param[in] _node Address of the node.
 /// @param[in] _endpoints All endpoints.
-/// @param[in] _perPool Most endpoints of one pool.
+/// @param[in] _perPool Maximum number of endpoints chosen per pool.
 std::vector<Endpoint> selectSubset(const std::string& _node, const std::vector<Endpoint>& _endpoints,
 								   std::size_t _perPool);
 
 // ---------------------------------------------------------------------------------------------------------------
-// Placement policies: plug-ins that register themselves.
+// Placement policies: self-registering plug-ins.
 // ---------------------------------------------------------------------------------------------------------------
 
-/// What a placement policy may look at.
+/// Input of a placement policy.
 struct PlacementInput
 {
-	const std::vector<EndpointState*>& candidates; ///< Endpoints with room for the call, at least one.
-	const std::vector<EndpointState*>& usable;     ///< These and the endpoints without room.
+	const std::vector<EndpointState*>& candidates; ///< Usable endpoints with a free slot, at least one.
+	const std::vector<EndpointState*>& usable;     ///< All usable endpoints, including those without a free slot.
 	std::uint64_t prefix = 0;                      ///< Hash of the prompt's prefix, 0 for none.
-	std::minstd_rand& random;                      ///< Seeded generator of the dispatcher.
-	std::size_t& roundRobinCounter;                ///< Counter of the pool, for policies that take turns.
-	double meanLoad = 0;                           ///< Mean load of the usable endpoints.
+	std::minstd_rand& random;                      ///< The dispatcher's seeded generator.
+	std::size_t& roundRobinCounter;                ///< The pool's counter for round-robin policies.
+	double meanLoad = 0;                           ///< Mean load() of the usable endpoints.
 };
 
 /// Send the call to this endpoint.
@@ -840,15 +841,15 @@
 	bool operator==(const PlaceAt&) const = default;
 };
 
-/// Another endpoint would be better and has no room: let calls for which there is a good place go first, and send this
-/// one here when there are none.
+/// Send the call to this endpoint, a second choice, only if no waiting call can be placed with PlaceAt: the preferred
+/// endpoint has no free slot, or this endpoint failed the call before.
 struct PlaceFallback
 {
 	EndpointState* endpoint = nullptr;
 	bool operator==(const PlaceFallback&) const = default;
 };
 
-/// No endpoint has room.
+/// No endpoint has a free slot.
 struct PlaceNone
 {
 	bool operator==(const PlaceNone&) const = default;
@@ -856,23 +857,24 @@
 
 using Placement = std::variant<PlaceNone, PlaceFallback, PlaceAt>;
 
-/// A named way to choose among endpoints.
+/// A named function that chooses among endpoints.
 struct PlacementPolicy
 {
 	std::string_view name;
 	Placement (*choose)(const PlacementInput& _input);
 };
 
-/// The endpoint that keeps a prompt prefix in its cache: the same on every node that sees the same endpoints, and one
-/// that moves few prefixes when endpoints come and go.
-/// @param[in] _usable Endpoints, at least one.
+/// Chooses the home endpoint of a prompt prefix, the one whose cache is to hold it, by rendezvous hashing. Nodes that
+/// see the same endpoints choose the same one, and few prefixes move when endpoints are added or removed.
+/// @param[in] _usable Usable endpoints, at least one.
+/// @param[in] _prefix Hash of the prompt's prefix.
 EndpointState* prefixHome(const std::vector<EndpointState*>& _usable, std::uint64_t _prefix);
 
-/// Adds a policy under its name; called by the policies' own files before main.
-/// @returns True, so that it can initialise a static.
+/// Registers a policy under its name. The files of the policies call it before main.
+/// @returns Whether the name was free. The result lets the initialiser of a static variable make the call.
 bool registerPlacement(const PlacementPolicy& _policy);
 
-/// @returns The policy, or null when no such name was registered.
+/// @returns The policy, or null if the name is not registered.
 const PlacementPolicy* findPlacement(std::string_view _name);
 
 /// @returns The names of all registered policies, sorted.
@@ -882,19 +884,19 @@
 // Dispatcher: admission, ordering, placement, retries.
 // ---------------------------------------------------------------------------------------------------------------
 
-/// A request as the dispatcher sees it.
+/// A request, as submitted to the dispatcher.
 struct RequestSpec
 {
 	std::uint64_t id = 0;
 	std::string workspace;
 	std::string pipeline;
 	Micros deadline = 0;    ///< Time point.
-	bool repeatable = true; ///< The caller's word; a stage's row can only make it stricter.
+	bool repeatable = true; ///< Whether the caller allows repeats; a stage's row can only be stricter.
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
 	std::uint64_t prefix = 0;         ///< Hash of the prompt's prefix, 0 for none.
-	bool isRetry = false;             ///< Its first attempt repeats earlier work, and is paid for as a retry.
-	std::string preferredDomain = {}; ///< Failure domain that its endpoint should be in, empty when it does not matter.
+	bool isRetry = false;             ///< The request repeats earlier work; its first attempt is charged as a retry.
+	std::string preferredDomain = {}; ///< Failure domain to prefer for its endpoints, empty for no preference.
 	bool operator==(const RequestSpec&) const = default;
 };
 
@@ -902,18 +904,18 @@
 struct StartAttempt
 {
 	std::uint64_t request = 0;
-	std::uint64_t attempt = 0; ///< Never used twice; echoed by the endpoint.
+	std::uint64_t attempt = 0; ///< Unique within the dispatcher; echoed by the endpoint.
 	std::size_t stageIndex = 0;
 	std::string stage;
 	StageKind kind = StageKind::Service;
 	std::string endpoint;
 	std::string address;
-	Micros deadline = 0;
-	bool atMostOnce = false; ///< Must not be sent a second time, by any layer.
+	Micros deadline = 0;     ///< Time point at which the attempt is given up.
+	bool atMostOnce = false; ///< No layer may send the call a second time.
 	bool operator==(const StartAttempt&) const = default;
 };
 
-/// Stop an attempt whose answer is no longer wanted.
+/// Cancel an attempt whose answer is no longer needed.
 struct CancelAttempt
 {
 	std::uint64_t request = 0;
@@ -921,7 +923,7 @@
 	bool operator==(const CancelAttempt&) const = default;
 };
 
-/// Tell the caller.
+/// Report the outcome of a request to its caller.
 struct FinishRequest
 {
 	std::uint64_t request = 0;
@@ -932,25 +934,25 @@
 using Action = std::variant<StartAttempt, CancelAttempt, FinishRequest>;
 using Actions = std::vector<Action>;
 
-/// The stage's whole answer arrived.
+/// The complete answer of the stage was received.
 struct AttemptAnswered
 {
 	bool operator==(const AttemptAnswered&) const = default;
 };
 
-/// Certain that no byte of the call was sent.
+/// No byte of the call was sent.
 struct AttemptNotSent
 {
 	bool operator==(const AttemptNotSent&) const = default;
 };
 
-/// The endpoint said that it did not begin the call.
+/// The endpoint reported that it did not start the call.
 struct AttemptRefused
 {
 	bool operator==(const AttemptRefused&) const = default;
 };
 
-/// Bytes were sent and no whole answer came back.
+/// Bytes of the call were sent, and no complete answer was received.
 struct AttemptInterrupted
 {
 	bool operator==(const AttemptInterrupted&) const = default;
@@ -958,11 +960,11 @@
 
 using AttemptEnd = std::variant<AttemptAnswered, AttemptNotSent, AttemptRefused, AttemptInterrupted>;
 
-/// How requests that wait for a pool are ordered.
+/// Order of the requests that wait for a pool.
 enum class Ordering
 {
 	Fifo,
-	DeadlineFair ///< Urgent first; then workspaces by weight, earliest deadline first within one.
+	DeadlineFair ///< Urgent requests first; then workspaces by weight, earliest deadline first within each.
 };
 
 /// Settings of a dispatcher.
@@ -970,25 +972,25 @@
 {
 	std::string placement = "affinity_gated";
 	Ordering ordering = Ordering::DeadlineFair;
-	bool admitByDeadline = true;         ///< Refuse what is predicted to be late.
-	bool dropInfeasible = true;          ///< Stop work that can no longer finish in time.
-	bool ejectOutliers = true;           ///< Keep failing and slow endpoints out.
-	double urgentReserve = 0.1;          ///< Share of a pool's slots that only urgent pipelines may use.
+	bool admitByDeadline = true;         ///< Refuse requests that are predicted to miss their deadline.
+	bool dropInfeasible = true;          ///< Drop waiting requests that are predicted to miss their deadline.
+	bool ejectOutliers = true;           ///< Eject failing and slow endpoints for a time.
+	double urgentReserve = 0.1;          ///< Fraction of a pool's slots that only urgent pipelines may use.
 	double retryShare = 0.1;             ///< Retries earned by each first attempt.
-	double retryBurst = 20;              ///< Most retries saved up, for each pool.
-	std::int64_t maxExtraConnects = 0;   ///< Connections that may fail to open beyond a stage's attempts.
-	double slotsFactor = 1.0;            ///< Calls sent to an endpoint, as a multiple of its slots.
-	double marginDeviations = 1.5;       ///< Deviations added to a predicted service time.
-	std::size_t lookahead = 24;          ///< Waiting requests that are looked at for one with a good place.
-	std::size_t queueLimit = 20'000;     ///< Most requests waiting in one pool.
-	std::int64_t ejectAfterFailures = 3; ///< Failures in a row.
+	double retryBurst = 20;              ///< Maximum number of accumulated retries per pool.
+	std::int64_t maxExtraConnects = 0;   ///< Failed connects per stage that do not count as attempts.
+	double slotsFactor = 1.0;            ///< Maximum calls in flight on an endpoint, as a multiple of its slots.
+	double marginDeviations = 1.5;       ///< Mean deviations added to a predicted service time at admission.
+	std::size_t lookahead = 24;          ///< Number of waiting requests examined for one that has a preferred endpoint.
+	std::size_t queueLimit = 20'000;     ///< Maximum number of requests waiting per pool.
+	std::int64_t ejectAfterFailures = 3; ///< Consecutive failures that eject an endpoint.
 	Micros ejectionDuration = 2 * kSecond;
-	double maxEjectedShare = 0.34; ///< Largest share of a pool that may be set aside.
+	double maxEjectedShare = 0.34; ///< Maximum fraction of a pool's endpoints that may be ejected at a time.
 	std::uint64_t seed = 1;
 	bool operator==(const DispatcherConfig&) const = default;
 };
 
-/// Counters of a dispatcher, all since it was made.
+/// Counters of a dispatcher since its construction.
 struct DispatcherCounters
 {
 	std::uint64_t submitted = 0;
@@ -997,11 +999,11 @@
 	std::uint64_t unknown = 0;
 	std::uint64_t attempts = 0;
 	std::uint64_t retries = 0;
-	std::uint64_t lateAnswers = 0; ///< Answers of attempts that were given up before.
+	std::uint64_t lateAnswers = 0; ///< Attempts that ended after they were given up.
 	bool operator==(const DispatcherCounters&) const = default;
 };
 
-/// Decides what is admitted, refused, in what order stages run and where.
+/// Admits or refuses requests, and decides in which order and on which endpoints their stages run.
 class Dispatcher
 {
 public:
@@ -1010,45 +1012,55 @@
 	Dispatcher(const Dispatcher&) = delete;
 	Dispatcher& operator=(const Dispatcher&) = delete;
 
-	/// Uses the newest rows. Requests in flight keep the stages they began with.
+	/// Replaces the table. Requests in flight keep the rows with which they were admitted.
 	void setTable(std::shared_ptr<const Table> _table);
 
-	/// Replaces the list of endpoints. One that has gone from the list receives no new work.
+	/// Replaces the list of endpoints. An endpoint that is no longer listed receives no new calls.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 
-	/// Marks an endpoint as leaving. Final: no later list can take it back.
+	/// Marks an endpoint as leaving. The mark is permanent: a later list does not clear it.
 	void markLeaving(const std::string& _endpoint);
 
-	/// Takes an endpoint's own report. What it counts beyond this node's own calls is put down to other nodes.
+	/// Processes an endpoint's load report. Calls beyond this node's own are attributed to other nodes.
 	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
 
-	/// Tells how many nodes use each endpoint, this one among them; one until told.
+	/// Sets the number of nodes that use each endpoint, including this one; initially 1.
 	void setNodeCount(std::size_t _nodes);
 
 	/// Sets this node's share of a workspace's limit.
-	/// @param[in] _inFlight Most requests in flight on this node; negative for no limit.
+	/// @param[in] _inFlight Maximum requests in flight on this node; negative removes the share.
 	void setShare(const std::string& _workspace, std::int64_t _inFlight);
 
-	/// Refuses every new request from now on, and lets those in flight end.
+	/// Refuses new requests from the table from now on. Requests in flight run to their end.
 	void drain();
 
-	/// Sets what each pool's retries are bounded by; what is saved up shrinks at once where the bound does.
+	/// Sets the limits of each pool's retry budget. Accumulated retries above the new maximum are discarded at once.
 	/// @param[in] _share Retries earned by one first attempt.
-	/// @param[in] _burst Most retries saved up.
+	/// @param[in] _burst Maximum number of accumulated retries.
 	void setRetryBounds(double _share, double _burst);
 
+	/// Submits a request for a pipeline of the table.
+	/// @returns Actions to perform; a refusal is a FinishRequest.
 	Actions submit(const RequestSpec& _request, Micros _now);
 
-	/// Submits a request that brings its own pipeline, in place of one from the table.
+	/// Submits a request with its own pipeline, instead of one from the table. Neither drain() nor the limits of the
+	/// workspace apply to it.
 	/// @param[in] _pipeline The pipeline; its workspace is not compared with the request's.
 	/// @param[in] _stages Its stages, at least one.
+	/// @returns Actions to perform; a refusal is a FinishRequest.
 	Actions submit(const RequestSpec& _request, const PipelineRow& _pipeline, const std::vector<StageRow>& _stages,
 				   Micros _now);
+
+	/// Processes the end of an attempt. An attempt that is not in flight is ignored, apart from being counted.
 	Actions attemptEnded(std::uint64_t _attempt, const AttemptEnd& _end, Micros _now);
+
+	/// Cancels a request; one that is not in flight is ignored.
 	Actions cancel(std::uint64_t _request, Micros _now);
+
+	/// Ends requests whose deadline has passed, and starts waiting requests where endpoints have free slots.
 	Actions tick(Micros _now);
 
-	/// @returns Failure domain of the endpoint to which requests with a prompt prefix go by preference; empty for none.
+	/// @returns Failure domain of a prompt prefix's home endpoint, see prefixHome(); empty if the pool has none.
 	[[nodiscard]] std::string homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const;
 
 	[[nodiscard]] std::size_t inFlight() const;
