--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The dispatcher: takes a request through its stages, one attempt at a time.
+/// The dispatcher: runs a request through its stages, one attempt at a time.
 
 #include "endpoint_registry.h"
 #include "pool_queue.h"
@@ -25,7 +25,7 @@
 constexpr Micros kRetryAfterMax = 30 * kSecond;
 constexpr Micros kNoEndpointRetryAfter = 1 * kSecond;
 
-/// Where a request is between two events.
+/// State of a request's current stage.
 enum class Phase
 {
 	Waiting,
@@ -37,20 +37,20 @@
 {
 	RequestSpec spec;
 	PipelineRow pipeline;
-	std::vector<StageRow> stages; ///< Rows as they stood when the request was admitted.
+	std::vector<StageRow> stages; ///< Rows at the time of admission.
 	double weight = 1;
 	std::size_t stageIndex = 0;
 	std::int64_t attemptsMade = 0;
-	std::int64_t failedConnects = 0; ///< Attempts of the stage that did not reach an endpoint.
+	std::int64_t failedConnects = 0; ///< Attempts of the stage that failed to connect and did not count as attempts.
 	Phase phase = Phase::Waiting;
 	QueuedRequest queued;
 	std::uint64_t attempt = 0;
 	std::string endpoint;
-	std::string avoidEndpoint; ///< Endpoint that failed the stage last.
+	std::string avoidEndpoint; ///< Endpoint of the stage's last failed attempt.
 	Micros startedAt = 0;
 	double predictedUs = 0;
-	bool anySent = false;        ///< Bytes of some stage were sent.
-	bool atMostOnceSent = false; ///< Bytes of a stage that may not be repeated were sent.
+	bool anySent = false;        ///< Bytes of some stage may have been sent.
+	bool atMostOnceSent = false; ///< Bytes of a stage that may not be repeated may have been sent.
 };
 
 Micros clampRetryAfter(double _waitUs)
@@ -60,7 +60,7 @@
 
 } // namespace
 
-/// Everything the dispatcher knows, and the steps it takes.
+/// State and internal operations of the dispatcher.
 struct Dispatcher::State
 {
 	explicit State(const DispatcherConfig& _config) : config(_config), registry(_config)
@@ -194,7 +194,7 @@
 	return aheadUs / capacity.slots;
 }
 
-/// Predicted service time of a stage and all after it.
+/// Predicts the service time of a stage and all later ones, in microseconds.
 double Dispatcher::State::remainingServiceUs(const ActiveRequest& _active, std::size_t _stage, double _deviations) const
 {
 	double totalUs = 0;
@@ -221,7 +221,7 @@
 		}
 		waitUs += this->queueWaitUs(_active, stage.pool, _now);
 	}
-	// Where nobody waits, a call that may be late costs nobody else its place.
+	// With empty queues a request that may miss its deadline delays no other request.
 	if (!this->config.admitByDeadline || waitUs <= 0)
 	{
 		return std::nullopt;
@@ -306,7 +306,7 @@
 {
 	if (_window.size() < 2)
 	{
-		// Nobody else waits for the place.
+		// No other request waits for the slot.
 		return false;
 	}
 	for (const QueuedRequest& candidate : _window)
@@ -454,7 +454,7 @@
 		this->finish(_request, this->failureOutcome(active, _reason), _actions);
 		return;
 	}
-	// The call is under way; how far it has come is not known here.
+	// The call is in progress, and how much of it was sent is not known here: it counts as sent.
 	active.anySent = true;
 	active.atMostOnceSent = active.atMostOnceSent || this->isAtMostOnce(active);
 	_actions.emplace_back(CancelAttempt{_request, active.attempt});
@@ -523,7 +523,7 @@
 	this->startQueued(pool, _now, _actions);
 }
 
-/// No endpoint has seen the attempt: where the settings allow it, it counts neither as an attempt nor as a retry.
+/// The attempt reached no endpoint. Up to maxExtraConnects per stage, it counts neither as an attempt nor as a retry.
 void Dispatcher::State::reconnectOrRetry(ActiveRequest& _active, Micros _now, Actions& _actions)
 {
 	if (_active.failedConnects >= this->config.maxExtraConnects)
--- a/src/outcome.cpp
+++ b/src/outcome.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Names of verdicts and reasons, as callers see them.
+/// Names of verdicts and reasons in answers to callers.
 
 #include <roadferry/roadferry.h>
 
--- a/src/pool_queue.cpp
+++ b/src/pool_queue.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the queue of one pool.
+/// Implementation of the pool queue.
 
 #include "pool_queue.h"
 
@@ -24,7 +24,7 @@
 
 PoolQueue::Key PoolQueue::queueKey(const QueuedRequest& _request) const
 {
-	// Request numbers count up, so that they give the order of arrival.
+	// Request ids are ascending and therefore give the order of arrival.
 	const Micros deadline = this->ordering == Ordering::Fifo ? 0 : _request.deadline;
 	return {deadline, _request.id};
 }
@@ -86,7 +86,7 @@
 		}
 		result.push_back(entry.second);
 	}
-	// What would leave next, worked out on copies of the workspaces' virtual times.
+	// Simulates the order of departure on copies of the groups' virtual times.
 	struct Cursor
 	{
 		double virtualTime;
@@ -147,7 +147,8 @@
 	{
 		return totalUs;
 	}
-	// Its own backlog drains at its share of the pool, which is the same as having all shares' work before it.
+	// The workspace's backlog drains at weight / activeWeight of the pool's rate, which takes as long as draining
+	// ownUs * activeWeight / weight at the full rate.
 	const bool hasBacklog = found != this->groups.end();
 	const double ownUs = hasBacklog ? found->second.workUs : 0;
 	const double activeWeight = this->totalWeight + (hasBacklog ? 0 : _weight);
--- a/src/pool_queue.h
+++ b/src/pool_queue.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Requests that wait for a pool, and the order in which they leave.
+/// Queue of the requests that wait for a pool.
 
 #ifndef ROADFERRY_POOL_QUEUE_H_HEADER_GUARD
 #define ROADFERRY_POOL_QUEUE_H_HEADER_GUARD
@@ -14,7 +14,7 @@
 namespace roadferry
 {
 
-/// One request that waits.
+/// A waiting request.
 struct QueuedRequest
 {
 	std::uint64_t id = 0;
@@ -24,8 +24,9 @@
 	bool urgent = false;
 };
 
-/// Queue of one pool. Urgent requests leave first, earliest deadline first. The others leave by start-time fair
-/// queueing over workspaces, with the workspace's weight, and earliest deadline first within one.
+/// Queue of one pool. With Ordering::DeadlineFair, urgent requests leave first, earliest deadline first; the others
+/// leave by start-time fair queueing over workspaces, weighted by the workspace's weight, and earliest deadline first
+/// within a workspace. With Ordering::Fifo, all requests leave in order of arrival.
 class PoolQueue
 {
 public:
@@ -36,27 +37,28 @@
 	/// @param[in] _weight Weight of its workspace, above zero.
 	void push(const QueuedRequest& _request, double _weight);
 
-	/// Removes a request if it waits here.
+	/// Removes a request without charging its workspace; does nothing if it is not queued.
 	void remove(const QueuedRequest& _request);
 
-	/// @returns The requests that would leave next, at most so many, in that order.
+	/// @returns At most _maxCount requests, in the order in which they would leave.
 	[[nodiscard]] std::vector<QueuedRequest> nextRequests(std::size_t _maxCount) const;
 
-	/// Takes a request out and charges its workspace for it.
+	/// Removes a request that is to run, and charges its predicted service time to its workspace.
 	void take(const QueuedRequest& _request);
 
 	[[nodiscard]] std::size_t size() const;
 
-	/// Work that a new request would find before it.
+	/// Work ahead of a new request.
 	/// @param[in] _workspace Workspace of the new request.
-	/// @param[in] _weight Its weight.
-	/// @param[in] _urgent Whether it is urgent.
-	/// @returns Predicted microseconds of service that leave the queue before it.
+	/// @param[in] _weight Weight of the workspace, above zero.
+	/// @param[in] _urgent Whether the new request is urgent.
+	/// @returns Predicted service time of the requests that would leave before it, in microseconds.
 	[[nodiscard]] double workAheadUs(const std::string& _workspace, double _weight, bool _urgent) const;
 
 private:
-	using Key = std::pair<Micros, std::uint64_t>;
+	using Key = std::pair<Micros, std::uint64_t>; ///< Deadline and id.
 
+	/// Requests that share one virtual time: those of one workspace, or all with Ordering::Fifo.
 	struct Group
 	{
 		std::map<Key, QueuedRequest> requests;
--- a/src/predictor.cpp
+++ b/src/predictor.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t kMinSamples = 8;
 constexpr double kSmoothing = 0.1;
-/// Prompt tokens that cost about as much as one generated token.
+/// Number of prompt tokens that take about as long as one generated token.
 constexpr double kPromptTokensPerUnit = 16.0;
 
 double workUnits(const StageRow& _stage, const RequestSpec& _request)
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Budget that keeps retries to a share of first attempts.
+/// Budget that limits retries to a fraction of the first attempts.
 
 #ifndef ROADFERRY_RETRY_BUDGET_H_HEADER_GUARD
 #define ROADFERRY_RETRY_BUDGET_H_HEADER_GUARD
@@ -14,12 +14,12 @@
 namespace roadferry
 {
 
-/// Each first attempt earns a part of a retry; each retry costs one.
+/// Each first attempt earns a fraction of a retry; each retry costs one.
 class RetryBudget
 {
 public:
 	/// @param[in] _share Retries earned by one first attempt.
-	/// @param[in] _burst Most retries saved up; the budget begins full.
+	/// @param[in] _burst Maximum number of accumulated retries; the budget starts full.
 	RetryBudget(double _share, double _burst) : share(_share), burst(_burst), available(_burst)
 	{
 	}
@@ -29,7 +29,8 @@
 		this->available = std::min(this->burst, this->available + this->share);
 	}
 
-	/// @returns Whether a retry may be made; if so it is paid for.
+	/// Takes one retry from the budget if there is one.
+	/// @returns Whether the retry may be made.
 	bool tryTakeRetry()
 	{
 		if (this->available < 1)
@@ -40,7 +41,7 @@
 		return true;
 	}
 
-	/// Changes the bounds; what is saved up shrinks at once where the bound does.
+	/// Changes the limits. Accumulated retries above the new maximum are discarded at once.
 	void setBounds(double _share, double _burst)
 	{
 		this->share = _share;
