--- a/src/endpoint_registry.cpp
+++ b/src/endpoint_registry.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the endpoints' state.
+/// Implementation of the endpoint registry.
 
 #include "endpoint_registry.h"
 
@@ -18,15 +18,16 @@
 {
 
 constexpr double kSlownessSmoothing = 0.2;
-constexpr double kEjectionSlowness = 4.0;            ///< An endpoint this much slower than predicted is set aside.
-constexpr double kUncontendedLoad = 0.5;             ///< Below it an endpoint is shared by whoever comes first.
-constexpr double kPreferredDomainMaxLoadRatio = 2.0; ///< Mean loads up to which an endpoint nearby is preferred,
-constexpr double kPreferredDomainIdleLoad = 0.25;    ///< whatever the mean is up to this,
-constexpr double kPreferredDomainMaxSlowness = 2.0;  ///< unless it is this much slower than predicted.
+constexpr double kEjectionSlowness = 4.0; ///< Slowness above which an endpoint is ejected.
+constexpr double kUncontendedLoad = 0.5;  ///< Load below which the slots are not divided among the nodes.
+constexpr double kPreferredDomainMaxLoadRatio =
+	2.0;                                          ///< Maximum load in the preferred domain, as a multiple of the mean.
+constexpr double kPreferredDomainIdleLoad = 0.25; ///< Load that is acceptable there whatever the mean load is.
+constexpr double kPreferredDomainMaxSlowness = 2.0; ///< Slowness from which an endpoint is not preferred.
 constexpr double kOwnSmoothing = 0.5;
-constexpr double kOthersSmoothing = 0.3; ///< Keeps nodes from all running to whichever endpoint looked idle.
+constexpr double kOthersSmoothing = 0.3; ///< Smoothing avoids that all nodes choose the same idle endpoint at once.
 
-/// Keeps to the endpoints of a failure domain, as long as one of them is not much busier than the pool.
+/// Restricts the candidates to a failure domain if it has any that are neither slow nor much busier than the pool.
 void preferDomain(std::vector<EndpointState*>& _candidates, const std::string& _domain, double _meanLoad)
 {
 	if (_domain.empty())
@@ -64,7 +65,7 @@
 	{
 		return false;
 	}
-	// After a time aside one call at a time goes to it, until one has succeeded.
+	// After an ejection, an endpoint gets one call at a time until one succeeds.
 	return !this->probing || this->ownInFlight == 0;
 }
 
@@ -149,8 +150,8 @@
 	{
 		this->markLeaving(_endpoint);
 	}
-	// The report is old by its lag; comparing it with smoothed own calls keeps a burst of ours from being counted
-	// as somebody else's.
+	// The report lags behind. Subtracting the smoothed number of own calls avoids that a burst of calls from this node
+	// is attributed to other nodes.
 	found->smoothedOwnInFlight +=
 		kOwnSmoothing * (static_cast<double>(found->ownInFlight) - found->smoothedOwnInFlight);
 	const auto counted = static_cast<double>(_report.running + _report.queued);
@@ -165,8 +166,8 @@
 	{
 		return true;
 	}
-	// Reports are a second old: when an endpoint fills up, each node keeps to its even part of the slots, since all
-	// would otherwise take the same free ones.
+	// Load reports are up to a second old. On a busy endpoint, each node keeps to its even share of the slots, since
+	// all nodes would otherwise take the same free slots.
 	const double nodeSlots =
 		std::ceil(static_cast<double>(_endpoint.endpoint.slots) / static_cast<double>(this->nodeCount));
 	return load < this->config.slotsFactor && static_cast<double>(_endpoint.ownInFlight) < nodeSlots;
--- a/src/endpoint_registry.h
+++ b/src/endpoint_registry.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The endpoints of all pools as one node sees them.
+/// State of the endpoints of all pools, as seen by one node.
 
 #ifndef ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
 #define ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
@@ -14,15 +14,15 @@
 namespace roadferry
 {
 
-/// Room in one pool.
+/// Capacity and use of one pool.
 struct PoolCapacity
 {
-	double slots = 0;    ///< Slots of all usable endpoints.
-	double inFlight = 0; ///< Calls in flight on them, of all nodes.
+	double slots = 0;    ///< Slots of all usable endpoints, times the slots factor.
+	double inFlight = 0; ///< Calls in flight on these endpoints, from all nodes.
 	std::size_t usable = 0;
 };
 
-/// Keeps the state of each endpoint, and decides which may receive work.
+/// Keeps the state of each endpoint and chooses endpoints for calls.
 class EndpointRegistry
 {
 public:
@@ -35,22 +35,23 @@
 	void setNodeCount(std::size_t _nodes);
 	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
 
-	/// Chooses an endpoint with room.
+	/// Chooses a usable endpoint with a free slot.
 	/// @param[in] _pool Name of the pool.
 	/// @param[in] _prefix Hash of the prompt's prefix, 0 for none.
-	/// @param[in] _avoid Endpoint that failed this request before; taken only when there is no other.
+	/// @param[in] _avoid Endpoint that failed this stage before, chosen only as a fallback; empty for none.
 	/// @param[in] _domain Failure domain to prefer, empty for none.
 	Placement choose(const std::string& _pool, std::uint64_t _prefix, const std::string& _avoid,
 					 const std::string& _domain, Micros _now);
 
-	/// @returns Failure domain of the endpoint that keeps a prompt prefix, empty when there is none.
+	/// @returns Failure domain of a prompt prefix's home endpoint, empty if the pool has no usable endpoint.
 	[[nodiscard]] std::string homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const;
 
-	/// Counts a call as begun or ended on an endpoint.
+	/// Counts a call to an endpoint as started or ended.
+	/// @param[in] _workUs Predicted service time of the call in microseconds.
 	void recordCallStart(EndpointState& _endpoint, double _workUs, Micros _now);
 	void recordCallEnd(const std::string& _endpoint, double _workUs);
 
-	/// Learns from how a call went.
+	/// Updates the endpoint's slowness and failure count from the result of a call, and ejects it where needed.
 	void recordSuccess(const std::string& _endpoint, double _measuredOverPredicted, Micros _now);
 	void recordFailure(const std::string& _endpoint, Micros _now);
 
@@ -77,7 +78,7 @@
 	std::minstd_rand random;
 	std::unordered_map<std::string, std::unique_ptr<EndpointState>> endpoints;
 	std::unordered_map<std::string, Pool> pools;
-	std::set<std::string> leavingIds; ///< Endpoints that are leaving; the mark is never taken back.
+	std::set<std::string> leavingIds; ///< Ids of leaving endpoints; never removed.
 };
 
 } // namespace roadferry
--- a/src/placement_affinity.cpp
+++ b/src/placement_affinity.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Placement by prompt prefix: calls with one prefix go to the same engine, whose cache then holds it. The gate on the
-/// engine's load is that of "Window 1 Results: B1' + B2 + B3": at most twice the mean.
+/// Placement by prompt prefix: calls with the same prefix go to the same engine, whose cache then holds the prefix. The
+/// gated policy does so only while the load of that engine is at most twice the mean load.
 
 #include <roadferry/roadferry.h>
 
@@ -19,8 +19,8 @@
 namespace
 {
 
-constexpr double kMaxLoadRatio = 2.0;
-constexpr double kIdleLoad = 0.25; ///< An engine with less than this is never held for busy.
+constexpr double kMaxLoadRatio = 2.0; ///< Maximum load of the home endpoint, as a multiple of the mean load.
+constexpr double kIdleLoad = 0.25;    ///< Load up to which the home endpoint never counts as overloaded.
 
 std::uint64_t hashScore(const EndpointState& _endpoint, std::uint64_t _prefix)
 {
--- a/src/placement_baselines.cpp
+++ b/src/placement_baselines.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Placement policies kept for comparison: taking turns, least in flight, the better of two drawn at random.
+/// Placement policies for comparison: round robin, fewest calls in flight from this node, power of two random choices.
 
 #include <roadferry/roadferry.h>
 
--- a/src/placement_finish.cpp
+++ b/src/placement_finish.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Placement by least predicted finish: load of all nodes, and how slow the endpoint has been of late.
+/// Placement by earliest predicted completion, from the load of all nodes and the endpoint's recent slowness.
 
 #include <roadferry/roadferry.h>
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Predicted time until the call is done, relative to an idle endpoint of usual speed.
+/// Predicts the completion time of a call, relative to an idle endpoint that is as fast as predicted.
 double predictedFinish(const EndpointState& _endpoint)
 {
 	return _endpoint.slowness * (1.0 + _endpoint.load());
--- a/src/subset.cpp
+++ b/src/subset.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The part of each pool that one node uses.
+/// Subset of each pool that a node uses.
 
 #include <roadferry/roadferry.h>
 
