--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -4,8 +4,9 @@
  */
 
 /// @file
-/// The dispatcher under random histories: stages that answer, fail, vanish; endpoints that leave; cancels; limits. The
-/// oracle counts what was sent for each request.
+/// Property test of the dispatcher under random histories: attempts that succeed, fail or are interrupted, leaving
+/// endpoints, cancellations and workspace limits. A model records what was sent for each request and checks the
+/// outcomes.
 
 #include "property.h"
 
@@ -44,11 +45,11 @@
 	return endpoint;
 }
 
-/// What the oracle knows of one request.
+/// What the model records about one request.
 struct RequestRecord
 {
 	RequestSpec spec;
-	std::map<std::string, int> atMostOnceSends; ///< Attempts of stages that may not be repeated, whose bytes were sent.
+	std::map<std::string, int> atMostOnceSends; ///< Attempts whose bytes were sent, by non-repeatable stage.
 	bool anySent = false;
 	bool anyAtMostOnceSent = false;
 	std::size_t stagesAnswered = 0;
@@ -111,7 +112,7 @@
 			{{6, AttemptAnswered{}}, {1, AttemptNotSent{}}, {1, AttemptRefused{}}, {2, AttemptInterrupted{}}});
 		this->recordEnd(action, end);
 		this->apply(this->dispatcher.attemptEnded(attempt, end, this->now));
-		// A late copy of the same answer changes nothing.
+		// A duplicate answer has no effect.
 		RC_ASSERT(this->dispatcher.attemptEnded(attempt, AttemptAnswered{}, this->now).empty());
 	}
 
@@ -173,7 +174,7 @@
 	{
 		const auto found = this->running.find(_action.attempt);
 		RC_ASSERT(found != this->running.end());
-		// How far it came is not known: the oracle counts it as sent.
+		// How much of the call was sent is not known, so the model counts it as sent.
 		this->recordSent(this->records.at(_action.request), found->second, true);
 		this->running.erase(found);
 	}
@@ -206,7 +207,7 @@
 		this->dispatcher.markLeaving(id);
 	}
 
-	/// A lagging list that still shows endpoints that are leaving.
+	/// Passes the initial endpoint list again, which does not mark leaving endpoints.
 	void resendEndpointList()
 	{
 		this->dispatcher.setEndpoints(this->endpoints);
@@ -244,7 +245,7 @@
 		RC_ASSERT(hallInFlight <= this->limit);
 	}
 
-	/// In the end each request has exactly one outcome, and nothing is left running.
+	/// Checks that at the end each request has exactly one outcome, and no call is in flight.
 	void finishAll()
 	{
 		this->now += 10 * kSecond;
