--- a/src/placement_affinity.cpp
+++ b/src/placement_affinity.cpp
@@ -38,14 +38,14 @@
 	return s_policy->choose(_input);
 }
 
-bool hasFreeSlot(const PlacementInput& _input, const EndpointState* _endpoint)
+bool isCandidate(const PlacementInput& _input, const EndpointState* _endpoint)
 {
 	return std::find(_input.candidates.begin(), _input.candidates.end(), _endpoint) != _input.candidates.end();
 }
 
 Placement homeOrFallback(const PlacementInput& _input, EndpointState* _home)
 {
-	if (hasFreeSlot(_input, _home))
+	if (isCandidate(_input, _home))
 	{
 		return PlaceAt{_home};
 	}
