--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -972,16 +972,17 @@
 {
 	std::string placement = "affinity_gated";
 	Ordering ordering = Ordering::DeadlineFair;
-	bool admitByDeadline = true;         ///< Refuse requests that are predicted to miss their deadline.
-	bool dropInfeasible = true;          ///< Drop waiting requests that are predicted to miss their deadline.
-	bool ejectOutliers = true;           ///< Eject failing and slow endpoints for a time.
-	double urgentReserve = 0.1;          ///< Fraction of a pool's slots that only urgent pipelines may use.
-	double retryShare = 0.1;             ///< Retries earned by each first attempt.
-	double retryBurst = 20;              ///< Maximum number of accumulated retries per pool.
-	std::int64_t maxExtraConnects = 0;   ///< Failed connects per stage that do not count as attempts.
-	double slotsFactor = 1.0;            ///< Maximum calls in flight on an endpoint, as a multiple of its slots.
-	double marginDeviations = 1.5;       ///< Mean deviations added to a predicted service time at admission.
-	std::size_t lookahead = 24;          ///< Number of waiting requests examined for one that has a preferred endpoint.
+	bool admitByDeadline = true;       ///< Refuse requests that are predicted to miss their deadline.
+	bool dropInfeasible = true;        ///< Drop waiting requests that are predicted to miss their deadline.
+	bool ejectOutliers = true;         ///< Eject failing and slow endpoints for a time.
+	double urgentReserve = 0.1;        ///< Fraction of a pool's slots that only urgent pipelines may use.
+	double retryShare = 0.1;           ///< Retries earned by each first attempt.
+	double retryBurst = 20;            ///< Maximum number of accumulated retries per pool.
+	std::int64_t maxExtraConnects = 0; ///< Failed connects per stage that do not count as attempts.
+	double slotsFactor = 1.0;          ///< Maximum calls in flight on an endpoint, as a multiple of its slots.
+	double marginDeviations =
+		1.5;                    ///< Number of mean absolute deviations added to a predicted service time at admission.
+	std::size_t lookahead = 24; ///< Number of waiting requests examined for one that has a preferred endpoint.
 	std::size_t queueLimit = 20'000;     ///< Maximum number of requests waiting per pool.
 	std::int64_t ejectAfterFailures = 3; ///< Consecutive failures that eject an endpoint.
 	Micros ejectionDuration = 2 * kSecond;
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -41,7 +41,7 @@
 	double weight = 1;
 	std::size_t stageIndex = 0;
 	std::int64_t attemptsMade = 0;
-	std::int64_t failedConnects = 0; ///< Attempts of the stage that failed to connect and did not count as attempts.
+	std::int64_t failedConnects = 0; ///< Failed connects of the stage that did not count as attempts.
 	Phase phase = Phase::Waiting;
 	QueuedRequest queued;
 	std::uint64_t attempt = 0;
--- a/src/endpoint_registry.cpp
+++ b/src/endpoint_registry.cpp
@@ -25,7 +25,7 @@
 constexpr double kPreferredDomainIdleLoad = 0.25; ///< Load that is acceptable there whatever the mean load is.
 constexpr double kPreferredDomainMaxSlowness = 2.0; ///< Slowness from which an endpoint is not preferred.
 constexpr double kOwnSmoothing = 0.5;
-constexpr double kOthersSmoothing = 0.3; ///< Smoothing avoids that all nodes choose the same idle endpoint at once.
+constexpr double kOthersSmoothing = 0.3; ///< Keeps the nodes from all choosing the same idle endpoint at once.
 
 /// Restricts the candidates to a failure domain if it has any that are neither slow nor much busier than the pool.
 void preferDomain(std::vector<EndpointState*>& _candidates, const std::string& _domain, double _meanLoad)
--- a/src/endpoint_registry.h
+++ b/src/endpoint_registry.h
@@ -51,7 +51,8 @@
 	void recordCallStart(EndpointState& _endpoint, double _workUs, Micros _now);
 	void recordCallEnd(const std::string& _endpoint, double _workUs);
 
-	/// Updates the endpoint's slowness and failure count from the result of a call, and ejects it where needed.
+	/// Updates the endpoint's slowness and failure count from the result of a call, and ejects it if it
+	/// fails repeatedly or is too slow.
 	void recordSuccess(const std::string& _endpoint, double _measuredOverPredicted, Micros _now);
 	void recordFailure(const std::string& _endpoint, Micros _now);
 
--- a/src/pool_queue.h
+++ b/src/pool_queue.h
@@ -58,7 +58,7 @@
 private:
 	using Key = std::pair<Micros, std::uint64_t>; ///< Deadline and id.
 
-	/// Requests that share one virtual time: those of one workspace, or all with Ordering::Fifo.
+	/// The urgent requests, those of one workspace, or all requests with Ordering::Fifo.
 	struct Group
 	{
 		std::map<Key, QueuedRequest> requests;
--- a/tests/test_dispatcher.cpp
+++ b/tests/test_dispatcher.cpp
@@ -49,7 +49,7 @@
 struct RequestRecord
 {
 	RequestSpec spec;
-	std::map<std::string, int> atMostOnceSends; ///< Attempts whose bytes were sent, by non-repeatable stage.
+	std::map<std::string, int> atMostOnceSends; ///< Number of at-most-once attempts sent, by stage.
 	bool anySent = false;
 	bool anyAtMostOnceSent = false;
 	std::size_t stagesAnswered = 0;
