--- a/include/roadferry/parts/batches.h
+++ b/include/roadferry/parts/batches.h
@@ -28,11 +28,11 @@
 {
 
 /// Names one piece of a request's stage.
-struct PieceName
+struct PieceIndex
 {
 	std::size_t stage = 0;
 	std::size_t piece = 0;
-	auto operator<=>(const PieceName&) const = default;
+	auto operator<=>(const PieceIndex&) const = default;
 };
 
 /// The pieces of one request: which can be made now, and which results the request itself needs.
@@ -41,23 +41,23 @@
 public:
 	/// @param[in] _stages Stages of the route.
 	/// @param[in] _counts Pieces of each stage; a stage without an entry, or with 0, is left out.
-	StageGraph(std::vector<RouteStage> _stages, std::vector<std::int64_t> _counts);
+	StageGraph(std::vector<RouteStage> _stages, std::vector<std::int64_t> _pieceCounts);
 
 	/// @returns Pieces that can be made and were not handed out yet; each is handed out once, until it is lost.
-	std::vector<PieceName> takeReady();
+	std::vector<PieceIndex> takeReady();
 
 	/// A piece was made.
 	/// @param[in] _handle Name of its result, by which others refer to it.
-	void made(const PieceName& _piece, const std::string& _handle);
+	void markCompleted(const PieceIndex& _piece, const std::string& _handle);
 
 	/// The endpoint has fetched what a piece works on, and is making it.
-	void started(const PieceName& _piece);
+	void markStarted(const PieceIndex& _piece);
 
 	/// A piece has to be made again: making it failed.
-	void failed(const PieceName& _piece);
+	void markFailed(const PieceIndex& _piece);
 
 	/// A result is gone. Its piece has to be made again, if anything still needs it.
-	void lost(const std::string& _handle);
+	void markLost(const std::string& _handle);
 
 	/// Results that a piece of a stage works on.
 	[[nodiscard]] std::vector<std::string> inputsOf(std::size_t _stage) const;
@@ -66,16 +66,16 @@
 	[[nodiscard]] std::vector<std::string> handlesOf(std::size_t _stage) const;
 
 	/// @returns Whether all results that the request itself needs are there.
-	[[nodiscard]] bool complete() const;
+	[[nodiscard]] bool isComplete() const;
 
 	/// @returns Results that the request itself needs: those of stages on which no other works.
 	[[nodiscard]] std::vector<std::string> results() const;
 
 	/// @returns Results that nothing needs any more and that were not returned before, for their makers to drop.
-	std::vector<std::string> takeSpent();
+	std::vector<std::string> takeUnneeded();
 
-	/// @returns All results that were not returned by takeSpent(), at the end of the request.
-	std::vector<std::string> takeAll();
+	/// @returns All results that were not returned by takeUnneeded(), at the end of the request.
+	std::vector<std::string> takeRemaining();
 
 	[[nodiscard]] const std::vector<RouteStage>& stages() const;
 
@@ -87,28 +87,28 @@
 		bool started = false; ///< Its inputs were fetched.
 	};
 
-	[[nodiscard]] bool stageMade(std::size_t _stage) const;
-	[[nodiscard]] bool stageStarted(std::size_t _stage) const;
-	[[nodiscard]] bool hasFollower(std::size_t _stage) const;
+	[[nodiscard]] bool isStageCompleted(std::size_t _stage) const;
+	[[nodiscard]] bool isStageStarted(std::size_t _stage) const;
+	[[nodiscard]] bool hasDependents(std::size_t _stage) const;
 
 	std::vector<RouteStage> plan;
 	std::vector<std::vector<Piece>> pieces;
-	std::set<std::string> spent; ///< Results that were given back.
+	std::set<std::string> taken; ///< Results that were given back.
 };
 
 /// A piece to be made.
 struct PieceOrder
 {
-	std::uint64_t order = 0; ///< Never used twice by one node.
-	std::string request;     ///< Id of the request, as endpoints know it.
-	PieceName name;
-	std::string key;                 ///< Of the request's own data, for a stage that works on the request itself.
-	std::vector<std::string> inputs; ///< Results that it works on.
-	Micros deadline = 0;             ///< Time point after which nobody wants it.
-	Micros due = 0;                  ///< Time point by which it should be made for the request to be in time.
-	std::int64_t priority = 5;       ///< 0 is the most urgent.
-	std::int64_t resultBytes = 0;    ///< Approximate size of the result.
-	std::string nearDomain = {};     ///< Failure domain where the result is needed, empty when it does not matter.
+	std::uint64_t orderId = 0; ///< Never used twice by one node.
+	std::string request;       ///< Id of the request, as endpoints know it.
+	PieceIndex index;
+	std::string key;                  ///< Of the request's own data, for a stage that works on the request itself.
+	std::vector<std::string> inputs;  ///< Results that it works on.
+	Micros deadline = 0;              ///< Time point after which nobody wants it.
+	Micros due = 0;                   ///< Time point by which it should be made for the request to be in time.
+	std::int64_t priority = 5;        ///< 0 is the most urgent.
+	std::int64_t resultBytes = 0;     ///< Approximate size of the result.
+	std::string preferredDomain = {}; ///< Failure domain where the result is needed, empty when it does not matter.
 	bool operator==(const PieceOrder&) const = default;
 };
 
@@ -117,10 +117,10 @@
 {
 	Late,       ///< Its time has passed, or it cannot be made in time.
 	InputGone,  ///< A result that it works on is gone.
-	NoRoom,     ///< The endpoint has no room for its result.
+	NoSpace,    ///< The endpoint has no room for its result.
 	NoEndpoint, ///< No endpoint could be reached.
 	Error,      ///< The endpoint failed.
-	Crowded     ///< Its request was not let in: it could not be in time.
+	NotAdmitted ///< Its request was not let in: it could not be in time.
 };
 
 std::string_view nameOf(PieceFault _fault);
@@ -132,7 +132,7 @@
 	std::string pool;
 	Endpoint endpoint;
 	std::vector<PieceOrder> orders;
-	Micros giveUpAt = 0;
+	Micros deadline = 0;
 	bool operator==(const StartBatch&) const = default;
 };
 
@@ -146,28 +146,28 @@
 /// The endpoint has fetched what a piece works on: these results are not needed for it any longer.
 struct PieceStarted
 {
-	std::uint64_t order = 0;
+	std::uint64_t orderId = 0;
 	bool operator==(const PieceStarted&) const = default;
 };
 
 /// A piece was made.
-struct PieceMade
+struct PieceCompleted
 {
-	std::uint64_t order = 0;
+	std::uint64_t orderId = 0;
 	std::string handle;
 	std::string failureDomain; ///< Of the endpoint that keeps the result.
-	bool operator==(const PieceMade&) const = default;
+	bool operator==(const PieceCompleted&) const = default;
 };
 
 /// A piece was not made, and is not tried any more.
 struct PieceFailed
 {
-	std::uint64_t order = 0;
+	std::uint64_t orderId = 0;
 	PieceFault fault = PieceFault::Error;
 	bool operator==(const PieceFailed&) const = default;
 };
 
-using BatchAction = std::variant<StartBatch, CancelBatch, PieceStarted, PieceMade, PieceFailed>;
+using BatchAction = std::variant<StartBatch, CancelBatch, PieceStarted, PieceCompleted, PieceFailed>;
 using BatchActions = std::vector<BatchAction>;
 
 /// The endpoint answered: one entry for each order, in order.
@@ -184,53 +184,53 @@
 };
 
 /// No answer, or none that can be used.
-struct BatchCut
+struct BatchFailed
 {
-	bool operator==(const BatchCut&) const = default;
+	bool operator==(const BatchFailed&) const = default;
 };
 
-using BatchEnd = std::variant<BatchAnswered, BatchRefused, BatchCut>;
+using BatchEnd = std::variant<BatchAnswered, BatchRefused, BatchFailed>;
 
-/// Times and bounds of a BatchMaker.
+/// Times and bounds of a Batcher.
 struct BatchConfig
 {
-	double lateShare = 0.1;                  ///< Part of each call that pieces past their due time may take.
-	double slowest = 4.0;                    ///< A call that takes so many times as long as told is given up.
-	Micros slack = 400 * kMillisecond;       ///< Added to that, for transfers.
-	Micros fetchTime = 100 * kMillisecond;   ///< In which a call has fetched its inputs: 15 MB take 12 ms on a link.
-	Micros asideFor = 1500 * kMillisecond;   ///< How long an endpoint that failed gets no call.
-	std::int64_t tries = 4;                  ///< Calls in which one piece may be.
-	Micros fullPause = 60 * kMillisecond;    ///< How long an endpoint without room counts as full.
-	Micros nearWait = 50 * kMillisecond;     ///< How long a large piece waits for an endpoint near to its use.
-	Micros refusedPause = 60 * kMillisecond; ///< Before an endpoint that was busy gets another call.
+	double lateShare = 0.1;                        ///< Part of each call that pieces past their due time may take.
+	double callTimeoutFactor = 4.0;                ///< A call that takes so many times as long as told is given up.
+	Micros callTimeoutMargin = 400 * kMillisecond; ///< Added to that, for transfers.
+	Micros inputFetchTime = 100 * kMillisecond; ///< In which a call has fetched its inputs: 15 MB take 12 ms on a link.
+	Micros failurePause = 1500 * kMillisecond;  ///< How long an endpoint that failed gets no call.
+	std::int64_t maxAttempts = 4;               ///< Calls in which one piece may be.
+	Micros fullPause = 60 * kMillisecond;       ///< How long an endpoint without room counts as full.
+	Micros localityWait = 50 * kMillisecond;    ///< How long a large piece waits for an endpoint near to its use.
+	Micros refusedPause = 60 * kMillisecond;    ///< Before an endpoint that was busy gets another call.
 	bool operator==(const BatchConfig&) const = default;
 };
 
 /// Forms batches: as soon as an endpoint is free it gets what waits, most urgent first.
-class BatchMaker
+class Batcher
 {
 public:
-	explicit BatchMaker(BatchConfig _config);
+	explicit Batcher(BatchConfig _config);
 
 	void setPools(const std::vector<PoolSpec>& _pools);
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 
 	/// Other nodes may form batches for the same endpoints until then: calls may wait there, and have not fetched their
 	/// inputs so soon after their begin.
-	void expectOthersUntil(Micros _until);
+	void expectOtherBatchersUntil(Micros _until);
 
 	/// Adds a piece to make. Call tick() afterwards to start calls.
 	void add(const std::string& _pool, const PieceOrder& _order, Micros _now);
 
 	/// Forgets a piece that nobody wants; one that is being made is made, and its result given back by nobody.
 	/// @returns Whether it was still waiting.
-	bool cancel(std::uint64_t _order);
+	bool cancel(std::uint64_t _orderId);
 
 	BatchActions batchEnded(std::uint64_t _batch, const BatchEnd& _end, Micros _now);
 	BatchActions tick(Micros _now);
 
 	/// A result is not needed any more: its endpoint has room again.
-	void freed(const std::string& _handle);
+	void freeResult(const std::string& _handle);
 
 	/// @returns Predicted time until a piece that was added now would be in a call; nothing for a pool without pieces.
 	[[nodiscard]] std::optional<Micros> waitTime(const std::string& _pool, Micros _now) const;
@@ -239,13 +239,13 @@
 	[[nodiscard]] std::map<std::string, Micros> waitTimes(Micros _now) const;
 
 	/// @returns Pieces that wait for a call.
-	[[nodiscard]] std::size_t waiting(const std::string& _pool) const;
+	[[nodiscard]] std::size_t queuedPieces(const std::string& _pool) const;
 
 private:
-	struct Waiting
+	struct QueuedPiece
 	{
 		PieceOrder order;
-		std::int64_t tries = 0;
+		std::int64_t attempts = 0;
 		std::string avoid; ///< Endpoint that failed it last.
 		Micros addedAt = 0;
 	};
@@ -254,20 +254,20 @@
 	{
 		std::string pool;
 		Endpoint endpoint;
-		std::vector<Waiting> pieces;
+		std::vector<QueuedPiece> pieces;
 		Micros startedAt = 0;
-		Micros expected = 0;
-		Micros giveUpAt = 0;
-		bool fetched = false; ///< Its pieces were told to have started.
+		Micros nominalTime = 0;
+		Micros deadline = 0;
+		bool startReported = false; ///< Its pieces were told to have started.
 	};
 
-	struct Maker
+	struct EndpointStatus
 	{
 		Endpoint endpoint;
 		std::int64_t calls = 0;
-		Micros freeAt = 0;         ///< Predicted end of its call.
-		Micros asideUntil = 0;     ///< Gets no call until then.
-		std::int64_t roomUsed = 0; ///< Bytes of results that it keeps or is making.
+		Micros freeAt = 0;          ///< Predicted end of its call.
+		Micros pausedUntil = 0;     ///< Gets no call until then.
+		std::int64_t usedBytes = 0; ///< Bytes of results that it keeps or is making.
 		std::int64_t failures = 0;
 		double slowness = 1; ///< Smoothed ratio of measured to told time.
 		bool listed = true;
@@ -276,51 +276,53 @@
 	struct Pool
 	{
 		BatchLimits limits;
-		std::vector<Waiting> queue; ///< Most urgent first.
-		double rate = 0;            ///< Pieces made in a second, smoothed.
-		Micros rateAt = 0;
+		std::vector<QueuedPiece> queue; ///< Most urgent first.
+		double rate = 0;                ///< Pieces made in a second, smoothed.
+		Micros rateUpdatedAt = 0;
 	};
 
 	/// A result that an endpoint keeps.
-	struct Kept
+	struct StoredResult
 	{
 		std::string endpoint;
 		std::int64_t bytes = 0;
-		Micros until = 0; ///< The endpoint drops it then, if nobody frees it before.
+		Micros expiresAt = 0; ///< The endpoint drops it then, if nobody frees it before.
 	};
 
-	[[nodiscard]] static bool before(const Waiting& _left, const Waiting& _right);
-	void enqueue(Pool& _pool, Waiting _waiting);
+	[[nodiscard]] static bool isMoreUrgent(const QueuedPiece& _left, const QueuedPiece& _right);
+	void enqueue(Pool& _pool, QueuedPiece _waiting);
 	void dropLate(Pool& _pool, Micros _now, BatchActions& _actions);
-	[[nodiscard]] static std::tuple<bool, bool, double> rank(const Waiting& _piece, const Maker& _maker);
-	Maker* chooseMaker(const std::string& _pool, const Pool& _spec, Micros _now);
-	[[nodiscard]] static bool fits(const Pool& _pool, std::int64_t _used, const Waiting& _piece);
-	[[nodiscard]] static bool isNear(const Waiting& _piece, const Maker& _maker);
-	[[nodiscard]] bool suits(const Waiting& _piece, const Maker& _maker, Micros _now) const;
-	[[nodiscard]] std::vector<std::size_t> choosePieces(const Pool& _pool, const Maker& _maker, Micros _now) const;
-	void startOne(const std::string& _name, Pool& _pool, Maker& _maker, const std::vector<std::size_t>& _chosen,
-				  Micros _now, BatchActions& _actions);
-	void keep(const Call& _call, const PieceOrder& _order, const std::string& _handle, Micros _now);
+	[[nodiscard]] static std::tuple<bool, bool, double> rank(const QueuedPiece& _piece, const EndpointStatus& _status);
+	EndpointStatus* chooseEndpoint(const std::string& _name, const Pool& _pool, Micros _now);
+	[[nodiscard]] static bool hasSpaceFor(const Pool& _pool, std::int64_t _used, const QueuedPiece& _piece);
+	[[nodiscard]] static bool isLocal(const QueuedPiece& _piece, const EndpointStatus& _status);
+	[[nodiscard]] bool mayRunOn(const QueuedPiece& _piece, const EndpointStatus& _status, Micros _now) const;
+	[[nodiscard]] std::vector<std::size_t> choosePieces(const Pool& _pool, const EndpointStatus& _status,
+														Micros _now) const;
+	void startBatch(const std::string& _name, Pool& _pool, EndpointStatus& _status,
+					const std::vector<std::size_t>& _chosen, Micros _now, BatchActions& _actions);
+	void recordResult(const Call& _call, const PieceOrder& _order, const std::string& _handle, Micros _now);
 	void markFull(const std::string& _endpoint, Micros _now);
-	void giveRoomBack(const std::string& _endpoint, std::int64_t _bytes);
+	void releaseSpace(const std::string& _endpoint, std::int64_t _bytes);
 	void expireResults(Micros _now);
-	void retry(Waiting _piece, const Call& _call, PieceFault _fault, BatchActions& _actions);
-	void takeResults(const Call& _call, const BatchAnswered& _answer, Micros _now, BatchActions& _actions);
-	void tellStarted(Micros _now, BatchActions& _actions);
+	void retry(QueuedPiece _piece, const Call& _call, PieceFault _fault, BatchActions& _actions);
+	void handleResults(const Call& _call, const BatchAnswered& _answer, Micros _now, BatchActions& _actions);
+	void reportStarted(Micros _now, BatchActions& _actions);
 	void expireCalls(Micros _now, BatchActions& _actions);
 	Call endCall(std::uint64_t _batch);
-	static void countMade(Pool& _pool, std::size_t _pieces, Micros _now);
-	[[nodiscard]] Micros expectedTime(const BatchLimits& _limits, const Maker& _maker, std::size_t _pieces) const;
+	static void updateRate(Pool& _pool, std::size_t _pieces, Micros _now);
+	[[nodiscard]] Micros predictedCallTime(const BatchLimits& _limits, const EndpointStatus& _status,
+										   std::size_t _pieces) const;
 
 	BatchConfig config;
 	std::map<std::string, Pool> pools;
-	std::map<std::string, Maker> makers; ///< By endpoint.
+	std::map<std::string, EndpointStatus> endpoints; ///< By endpoint.
 	std::map<std::uint64_t, Call> calls;
-	std::unordered_map<std::string, Kept> kept; ///< By handle.
+	std::unordered_map<std::string, StoredResult> storedResults; ///< By handle.
 	Micros nextExpiry = 0;
-	std::uint64_t lastUnknown = 0;
-	Micros othersUntil = 0;
-	std::set<std::string> left; ///< Endpoints that were seen leaving; the mark is never taken back.
+	std::uint64_t lastUnknownId = 0;
+	Micros otherBatchersUntil = 0;
+	std::set<std::string> leavingEndpoints; ///< Endpoints that were seen leaving; the mark is never taken back.
 	std::uint64_t lastBatch = 0;
 };
 
@@ -332,29 +334,29 @@
 // Batches over nodes: pieces of all nodes meet at one node for each pool.
 
 /// Asks another node to have pieces made. Times are durations, since nodes share no clock.
-struct PieceAsk
+struct PieceSubmit
 {
 	std::string pool;
 	std::vector<PieceOrder> orders;          ///< With deadline and due counted from the sending.
 	std::optional<AdmissionTerms> admission; ///< Set for the first pieces of a request.
-	bool operator==(const PieceAsk&) const = default;
+	bool operator==(const PieceSubmit&) const = default;
 };
 
 /// Tells another node what became of pieces that it asked for. Without any it says that they are still in hand.
-struct PieceGive
+struct PieceUpdate
 {
 	std::vector<PieceStarted> started;
-	std::vector<PieceMade> made;
+	std::vector<PieceCompleted> completed;
 	std::vector<PieceFailed> failed;
 	std::map<std::string, Micros> waits; ///< Predicted wait of a piece, for each pool whose batches the sender forms.
-	bool operator==(const PieceGive&) const = default;
+	bool operator==(const PieceUpdate&) const = default;
 };
 
 /// Tells another node that pieces are not wanted any more.
-struct PieceDrop
+struct PieceCancel
 {
 	std::vector<std::uint64_t> orders;
-	bool operator==(const PieceDrop&) const = default;
+	bool operator==(const PieceCancel&) const = default;
 };
 
 /// Tells the node that had results made that they are not needed any more.
@@ -364,7 +366,7 @@
 	bool operator==(const PieceFree&) const = default;
 };
 
-using PieceMessage = std::variant<PieceAsk, PieceGive, PieceDrop, PieceFree>;
+using PieceMessage = std::variant<PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
 /// Send a message to another node.
 struct SendPieceMessage
@@ -381,18 +383,18 @@
 	bool operator==(const FreeResult&) const = default;
 };
 
-/// A request was not let in; its pieces fail as Crowded.
-struct RequestCrowded
+/// A request was not let in; its pieces fail as NotAdmitted.
+struct RequestNotAdmitted
 {
 	std::string request;
-	std::string from;    ///< Node that asked, empty for this one.
-	Micros waitMost = 0; ///< What it can wait in all.
+	std::string from;   ///< Node that asked, empty for this one.
+	Micros maxWait = 0; ///< What it can wait in all.
 	std::map<std::string, Micros> waits;
-	bool operator==(const RequestCrowded&) const = default;
+	bool operator==(const RequestNotAdmitted&) const = default;
 };
 
-using PieceAction = std::variant<StartBatch, CancelBatch, PieceStarted, PieceMade, PieceFailed, SendPieceMessage,
-								 FreeResult, RequestCrowded>;
+using PieceAction = std::variant<StartBatch, CancelBatch, PieceStarted, PieceCompleted, PieceFailed, SendPieceMessage,
+								 FreeResult, RequestNotAdmitted>;
 using PieceActions = std::vector<PieceAction>;
 
 /// Times of a PieceScheduler.
@@ -400,12 +402,12 @@
 {
 	BatchConfig batches;
 	AdmissionConfig admission;
-	Micros keepaliveEvery = 250 * kMillisecond; ///< A node that holds pieces of others tells them so.
-	Micros silentAfter = 800 * kMillisecond;    ///< A node that does not is passed over: three times that, and some.
-	Micros handover = 2 * kSecond;              ///< After a change of members, two nodes may form batches for one pool.
-	Micros silentFor = 3 * kSecond;             ///< How long it is passed over.
-	Micros toldLife = 1'500 * kMillisecond;     ///< How long a time that another node predicted is used.
-	bool shared = true;                         ///< Whether nodes form batches together, or each for itself.
+	Micros keepalivePeriod = 250 * kMillisecond; ///< A node that holds pieces of others tells them so.
+	Micros silenceTimeout = 800 * kMillisecond;  ///< A node that does not is passed over: three times that, and some.
+	Micros handoverTime = 2 * kSecond;  ///< After a change of members, two nodes may form batches for one pool.
+	Micros exclusionTime = 3 * kSecond; ///< How long it is passed over.
+	Micros peerWaitsMaxAge = 1'500 * kMillisecond; ///< How long a time that another node predicted is used.
+	bool sharedBatches = true;                     ///< Whether nodes form batches together, or each for itself.
 	bool operator==(const PieceSchedulerConfig&) const = default;
 };
 
@@ -424,9 +426,9 @@
 	void setMembers(const std::vector<std::string>& _members, Micros _now);
 
 	/// Has pieces of one pool made.
-	/// @param[in] _admission Given with the first pieces of a request, which may then be refused as Crowded.
-	PieceActions order(const std::string& _pool, const std::vector<PieceOrder>& _orders,
-					   const std::optional<AdmissionTerms>& _admission, Micros _now);
+	/// @param[in] _admission Given with the first pieces of a request, which may then be refused as NotAdmitted.
+	PieceActions submit(const std::string& _pool, const std::vector<PieceOrder>& _orders,
+						const std::optional<AdmissionTerms>& _admission, Micros _now);
 
 	/// Nobody wants these pieces any more.
 	PieceActions cancel(const std::vector<std::uint64_t>& _orders, Micros _now);
@@ -447,15 +449,15 @@
 
 private:
 	/// A piece that this node has made: for itself, or for another.
-	struct InHand
+	struct LocalOrder
 	{
 		std::string peer; ///< Empty for this node itself.
-		std::uint64_t order = 0;
+		std::uint64_t orderId = 0;
 		bool wanted = true;
 	};
 
 	/// A piece that another node has in hand.
-	struct Away
+	struct RemoteOrder
 	{
 		std::string peer;
 		std::string pool;
@@ -463,35 +465,35 @@
 	};
 
 	[[nodiscard]] bool isMember(const std::string& _node) const;
-	void makeHere(const std::string& _pool, const std::string& _peer, const PieceOrder& _order, Micros _now);
+	void addLocal(const std::string& _pool, const std::string& _peer, const PieceOrder& _order, Micros _now);
 	void send(const std::string& _to, PieceMessage _message, PieceActions& _actions);
-	void place(const PieceAsk& _ask, Micros _now, PieceActions& _actions);
-	[[nodiscard]] bool admits(const std::string& _from, const PieceAsk& _ask, Micros _now, PieceActions& _actions);
-	void takeBatchActions(const BatchActions& _batch, Micros _now, PieceActions& _actions);
-	void onAsk(const std::string& _from, const PieceAsk& _ask, Micros _now, PieceActions& _actions);
-	void onGive(const std::string& _from, const PieceGive& _give, Micros _now, PieceActions& _actions);
-	[[nodiscard]] std::map<std::string, Micros> ownWaits(Micros _now) const;
+	void assign(const PieceSubmit& _submit, Micros _now, PieceActions& _actions);
+	[[nodiscard]] bool admit(const std::string& _from, const PieceSubmit& _submit, Micros _now, PieceActions& _actions);
+	void handleBatchActions(const BatchActions& _batch, Micros _now, PieceActions& _actions);
+	void onSubmit(const std::string& _from, const PieceSubmit& _submit, Micros _now, PieceActions& _actions);
+	void onUpdate(const std::string& _from, const PieceUpdate& _update, Micros _now, PieceActions& _actions);
+	[[nodiscard]] std::map<std::string, Micros> localWaits(Micros _now) const;
 	[[nodiscard]] Micros waitTime(const std::string& _pool, Micros _now) const;
-	void onDrop(const std::string& _from, const PieceDrop& _drop);
-	void freeHere(const std::vector<std::string>& _handles, PieceActions& _actions);
-	void takeBack(const std::string& _peer, Micros _now, PieceActions& _actions);
-	void checkSilence(Micros _now, PieceActions& _actions);
+	void onCancel(const std::string& _from, const PieceCancel& _cancel);
+	void freeLocally(const std::vector<std::string>& _handles, PieceActions& _actions);
+	void reassignFrom(const std::string& _peer, Micros _now, PieceActions& _actions);
+	void detectSilentPeers(Micros _now, PieceActions& _actions);
 	void sendKeepalives(Micros _now, PieceActions& _actions);
 
 	std::string self;
 	PieceSchedulerConfig config;
-	BatchMaker maker;
+	Batcher batcher;
 	StageAdmission admission;
 	std::vector<std::string> members;
-	std::map<std::string, Micros> silentUntil;                               ///< Nodes that are passed over.
-	std::unordered_map<std::uint64_t, InHand> inHand;                        ///< By the number that the maker knows.
-	std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> numberOf; ///< The other way round.
-	std::map<std::uint64_t, Away> away;                                      ///< By order.
-	std::map<std::string, Micros> heardAt;                 ///< Nodes that have pieces of ours in hand.
-	std::map<std::string, std::pair<Micros, Micros>> told; ///< Waits that others predicted, with when, by pool.
-	std::unordered_map<std::string, std::string> makerOf;  ///< Nodes that had results made for this one, by handle.
-	std::map<std::string, Micros> toldAt;                  ///< Nodes whose pieces are in hand here.
-	std::uint64_t lastNumber = 0;
+	std::map<std::string, Micros> excludedUntil;                             ///< Nodes that are passed over.
+	std::unordered_map<std::uint64_t, LocalOrder> localOrders;               ///< By the number that the maker knows.
+	std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> localIds; ///< The other way round.
+	std::map<std::uint64_t, RemoteOrder> remoteOrders;                       ///< By order.
+	std::map<std::string, Micros> lastHeardAt;                  ///< Nodes that have pieces of ours in hand.
+	std::map<std::string, std::pair<Micros, Micros>> peerWaits; ///< Waits that others predicted, with when, by pool.
+	std::unordered_map<std::string, std::string> nodeOfHandle; ///< Nodes that had results made for this one, by handle.
+	std::map<std::string, Micros> lastUpdateAt;                ///< Nodes whose pieces are in hand here.
+	std::uint64_t lastLocalId = 0;
 };
 
 } // namespace roadferry
--- a/src/adapter.h
+++ b/src/adapter.h
@@ -90,7 +90,7 @@
 	/// @returns The call that makes pieces at an endpoint.
 	[[nodiscard]] virtual HttpRequest batchRequest(const StartBatch& _batch, Micros _now) const = 0;
 
-	/// @returns What became of the pieces; BatchCut for an answer that cannot be used.
+	/// @returns What became of the pieces; BatchFailed for an answer that cannot be used.
 	[[nodiscard]] virtual BatchEnd readBatch(const CallEnd& _end, std::size_t _pieces) const = 0;
 
 	/// @returns The call that lets an endpoint drop results.
--- /dev/null
+++ b/src/batcher.cpp
@@ -0,0 +1,596 @@
+/*
+ * Copyright 2026 The roadferry maintainers. All rights reserved.
+ * License: https://opensource.org/licenses/BSD-2-Clause
+ */
+
+/// @file
+/// Forms batches of pieces and places them on endpoints.
+
+#include <roadferry/parts/batches.h>
+
+#include <roadferry/roadferry.h>
+
+#include <absl/strings/str_cat.h>
+
+#include <xxhash.h>
+
+#include <algorithm>
+#include <array>
+#include <cmath>
+#include <utility>
+
+namespace roadferry
+{
+
+namespace
+{
+
+constexpr std::array<std::string_view, 6> kFaultNames = {"late",        "input_gone", "no_room",
+														 "no_endpoint", "error",      "crowded"};
+constexpr double kSlownessSmoothing = 0.3;
+/// Which pieces of a queue one pass over it takes.
+enum class SelectionPass
+{
+	Late,   ///< Past their due time,
+	Urgent, ///< due within a few calls,
+	Local,  ///< in time, and near to this endpoint,
+	Any     ///< in time.
+};
+
+constexpr Micros kUrgentCalls = 3; ///< Calls before its due time from which on a piece is not passed over.
+constexpr double kMaxSlowness = 8.0;
+constexpr Micros kRateSmoothingTime =
+	1'500 * kMillisecond; ///< Over which the rate of made pieces is smoothed: a few calls.
+constexpr double kMinNominalShare = 0.4;
+constexpr double kSlowThreshold = 1.7; ///< An endpoint that takes so many times as long as told is used last.
+constexpr Micros kExpiryPeriod = 100 * kMillisecond;
+
+} // namespace
+
+std::string_view nameOf(PieceFault _fault)
+{
+	return kFaultNames.at(static_cast<std::size_t>(_fault));
+}
+
+Batcher::Batcher(BatchConfig _config) : config(_config)
+{
+}
+
+void Batcher::setPools(const std::vector<PoolSpec>& _pools)
+{
+	for (const PoolSpec& spec : _pools)
+	{
+		if (spec.batches)
+		{
+			this->pools[spec.name].limits = *spec.batches;
+		}
+	}
+}
+
+void Batcher::setEndpoints(const std::vector<Endpoint>& _endpoints)
+{
+	for (auto& entry : this->endpoints)
+	{
+		entry.second.listed = false;
+	}
+	for (const Endpoint& endpoint : _endpoints)
+	{
+		EndpointStatus& status = this->endpoints[endpoint.id];
+		status.endpoint = endpoint;
+		status.listed = true;
+		if (endpoint.leaving)
+		{
+			this->leavingEndpoints.insert(endpoint.id);
+		}
+		status.endpoint.leaving = this->leavingEndpoints.count(endpoint.id) > 0;
+	}
+	std::erase_if(this->endpoints,
+				  [](const auto& _entry) { return !_entry.second.listed && _entry.second.calls == 0; });
+}
+
+bool Batcher::isMoreUrgent(const QueuedPiece& _left, const QueuedPiece& _right)
+{
+	return std::tie(_left.order.due, _left.order.orderId) < std::tie(_right.order.due, _right.order.orderId);
+}
+
+void Batcher::enqueue(Pool& _pool, QueuedPiece _piece)
+{
+	const auto position = std::upper_bound(_pool.queue.begin(), _pool.queue.end(), _piece, &Batcher::isMoreUrgent);
+	_pool.queue.insert(position, std::move(_piece));
+}
+
+void Batcher::add(const std::string& _pool, const PieceOrder& _order, Micros _now)
+{
+	this->enqueue(this->pools[_pool], QueuedPiece{_order, 0, {}, _now});
+}
+
+bool Batcher::cancel(std::uint64_t _orderId)
+{
+	for (auto& entry : this->pools)
+	{
+		if (std::erase_if(entry.second.queue,
+						  [_orderId](const QueuedPiece& _piece) { return _piece.order.orderId == _orderId; }) > 0)
+		{
+			return true;
+		}
+	}
+	return false;
+}
+
+Micros Batcher::predictedCallTime(const BatchLimits& _limits, const EndpointStatus& _status, std::size_t _pieces) const
+{
+	const Micros nominalTime = _limits.callTime + _limits.pieceTime * static_cast<Micros>(_pieces);
+	return static_cast<Micros>(static_cast<double>(nominalTime) * std::max(1.0, _status.slowness));
+}
+
+void Batcher::dropLate(Pool& _pool, Micros _now, BatchActions& _actions)
+{
+	const Micros minCallTime = _pool.limits.callTime;
+	std::erase_if(_pool.queue,
+				  [&](const QueuedPiece& _piece)
+				  {
+					  const bool late = _now + minCallTime > _piece.order.deadline;
+					  if (late)
+					  {
+						  _actions.emplace_back(PieceFailed{_piece.order.orderId, PieceFault::Late});
+					  }
+					  return late;
+				  });
+}
+
+/// Order of endpoints for a piece, the best first: one that is much slower than told comes last, one that is near to
+/// where the result is needed comes first.
+std::tuple<bool, bool, double> Batcher::rank(const QueuedPiece& _piece, const EndpointStatus& _status)
+{
+	return {_status.slowness > kSlowThreshold, !isLocal(_piece, _status), _status.slowness};
+}
+
+Batcher::EndpointStatus* Batcher::chooseEndpoint(const std::string& _name, const Pool& _pool, Micros _now)
+{
+	EndpointStatus* best = nullptr;
+	for (auto& entry : this->endpoints)
+	{
+		EndpointStatus& status = entry.second;
+		const bool usable = status.listed && !status.endpoint.leaving && status.endpoint.pool == _name;
+		if (!usable || status.calls >= _pool.limits.slots || _now < status.pausedUntil)
+		{
+			continue;
+		}
+		if (choosePieces(_pool, status, _now).empty())
+		{
+			continue;
+		}
+		const bool avoided = !_pool.queue.empty() && _pool.queue.front().avoid == status.endpoint.id;
+		const bool better = best == nullptr || rank(_pool.queue.front(), status) < rank(_pool.queue.front(), *best);
+		if (better && (!avoided || best == nullptr))
+		{
+			best = &status;
+		}
+	}
+	return best;
+}
+
+bool Batcher::hasSpaceFor(const Pool& _pool, std::int64_t _used, const QueuedPiece& _piece)
+{
+	const std::int64_t capacity = _pool.limits.resultRoom;
+	const std::int64_t bytes = _piece.order.resultBytes;
+	if (capacity <= 0 || _used == 0)
+	{
+		return true;
+	}
+	return _used + bytes <= capacity;
+}
+
+/// Whether a piece may go to an endpoint, or should wait for one that is nearer to where its result is needed.
+bool Batcher::mayRunOn(const QueuedPiece& _piece, const EndpointStatus& _status, Micros _now) const
+{
+	return isLocal(_piece, _status) || _now - _piece.addedAt >= this->config.localityWait;
+}
+
+bool Batcher::isLocal(const QueuedPiece& _piece, const EndpointStatus& _status)
+{
+	const std::string& preferred = _piece.order.preferredDomain;
+	return preferred.empty() || preferred == _status.endpoint.failureDomain;
+}
+
+/// @returns Places in the queue of the pieces for one call: the most urgent ones whose results the endpoint can keep.
+std::vector<std::size_t> Batcher::choosePieces(const Pool& _pool, const EndpointStatus& _status, Micros _now) const
+{
+	const auto maxPieces = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.batch));
+	std::vector<std::size_t> chosen;
+	std::int64_t used = _status.usedBytes;
+	std::vector<bool> taken(_pool.queue.size(), false);
+	const Micros urgentBefore = _now + kUrgentCalls * _pool.limits.callTime;
+	const auto take = [&](SelectionPass _pass, std::size_t _upTo)
+	{
+		const bool late = _pass == SelectionPass::Late;
+		const std::size_t size = _pool.queue.size();
+		for (std::size_t step = 0; step < size && chosen.size() < _upTo; ++step)
+		{
+			// Of the late ones the latest come last: their inputs may be gone, and their clients too.
+			const std::size_t index = late ? size - 1 - step : step;
+			const QueuedPiece& piece = _pool.queue[index];
+			const bool isLate = piece.order.due < _now + _pool.limits.callTime;
+			const bool matches = _pass == SelectionPass::Urgent  ? piece.order.due < urgentBefore
+								 : _pass == SelectionPass::Local ? isLocal(piece, _status)
+																 : true;
+			if (!taken[index] && isLate == late && matches && hasSpaceFor(_pool, used, piece) &&
+				this->mayRunOn(piece, _status, _now))
+			{
+				taken[index] = true;
+				chosen.push_back(index);
+				used += piece.order.resultBytes;
+			}
+		}
+	};
+	// What can no longer be in time goes behind what can, apart from a share that keeps it from waiting for ever.
+	take(SelectionPass::Late,
+		 static_cast<std::size_t>(std::ceil(this->config.lateShare * static_cast<double>(maxPieces))));
+	take(SelectionPass::Urgent, maxPieces);
+	take(SelectionPass::Local, maxPieces); // What has time goes where its inputs or its use are near, if it can.
+	take(SelectionPass::Any, maxPieces);
+	take(SelectionPass::Late, maxPieces);
+	std::sort(chosen.begin(), chosen.end());
+	return chosen;
+}
+
+void Batcher::startBatch(const std::string& _name, Pool& _pool, EndpointStatus& _status,
+						 const std::vector<std::size_t>& _chosen, Micros _now, BatchActions& _actions)
+{
+	Call call;
+	call.pool = _name;
+	call.endpoint = _status.endpoint;
+	call.startedAt = _now;
+	call.nominalTime = _pool.limits.callTime + _pool.limits.pieceTime * static_cast<Micros>(_chosen.size());
+	const double callTimeout = static_cast<double>(this->predictedCallTime(_pool.limits, _status, _chosen.size())) *
+							   this->config.callTimeoutFactor;
+	call.deadline = _now + static_cast<Micros>(callTimeout) + this->config.callTimeoutMargin;
+	StartBatch action{++this->lastBatch, _name, _status.endpoint, {}, call.deadline};
+	for (const std::size_t index : _chosen)
+	{
+		action.orders.push_back(_pool.queue[index].order);
+		call.pieces.push_back(std::move(_pool.queue[index]));
+		call.pieces.back().attempts += 1;
+		_status.usedBytes += action.orders.back().resultBytes;
+	}
+	std::vector<QueuedPiece> rest;
+	rest.reserve(_pool.queue.size() - _chosen.size());
+	auto next = _chosen.begin(); // The places are in order.
+	for (std::size_t index = 0; index < _pool.queue.size(); ++index)
+	{
+		if (next != _chosen.end() && *next == index)
+		{
+			++next;
+			continue;
+		}
+		rest.push_back(std::move(_pool.queue[index]));
+	}
+	_pool.queue = std::move(rest);
+	_status.calls += 1;
+	_status.freeAt = _now + this->predictedCallTime(_pool.limits, _status, _chosen.size());
+	this->calls.emplace(action.batch, std::move(call));
+	_actions.emplace_back(std::move(action));
+}
+
+void Batcher::releaseSpace(const std::string& _endpoint, std::int64_t _bytes)
+{
+	const auto status = this->endpoints.find(_endpoint);
+	if (status != this->endpoints.end())
+	{
+		status->second.usedBytes = std::max<std::int64_t>(0, status->second.usedBytes - _bytes);
+	}
+}
+
+void Batcher::recordResult(const Call& _call, const PieceOrder& _order, const std::string& _handle, Micros _now)
+{
+	const auto status = this->endpoints.find(_call.endpoint.id);
+	if (status != this->endpoints.end())
+	{
+		status->second.usedBytes += _order.resultBytes;
+	}
+	const Micros lifetime = this->pools[_call.pool].limits.resultLife;
+	this->storedResults[_handle] = StoredResult{_call.endpoint.id, _order.resultBytes, _now + lifetime};
+}
+
+/// The endpoint keeps more than is known here, for instance for the node that formed the batches before: it counts as
+/// full for a while.
+void Batcher::markFull(const std::string& _endpoint, Micros _now)
+{
+	const auto status = this->endpoints.find(_endpoint);
+	const auto pool =
+		status == this->endpoints.end() ? this->pools.end() : this->pools.find(status->second.endpoint.pool);
+	if (pool == this->pools.end())
+	{
+		return;
+	}
+	const std::int64_t unknownBytes = pool->second.limits.resultRoom - status->second.usedBytes;
+	if (unknownBytes > 0)
+	{
+		status->second.usedBytes += unknownBytes;
+		this->storedResults[absl::StrCat("unknown results at ", _endpoint, " ", ++this->lastUnknownId)] =
+			StoredResult{_endpoint, unknownBytes, _now + this->config.fullPause};
+	}
+}
+
+void Batcher::updateRate(Pool& _pool, std::size_t _pieces, Micros _now)
+{
+	const double passed = static_cast<double>(_now - _pool.rateUpdatedAt) / static_cast<double>(kRateSmoothingTime);
+	_pool.rate = _pool.rate * std::exp(-passed) +
+				 static_cast<double>(_pieces) * static_cast<double>(kSecond) / static_cast<double>(kRateSmoothingTime);
+	_pool.rateUpdatedAt = _now;
+}
+
+void Batcher::freeResult(const std::string& _handle)
+{
+	const auto found = this->storedResults.find(_handle);
+	if (found != this->storedResults.end())
+	{
+		this->releaseSpace(found->second.endpoint, found->second.bytes);
+		this->storedResults.erase(found);
+	}
+}
+
+void Batcher::expireResults(Micros _now)
+{
+	if (_now < this->nextExpiry)
+	{
+		return;
+	}
+	this->nextExpiry = _now + kExpiryPeriod;
+	std::vector<std::string> expired;
+	for (const auto& entry : this->storedResults)
+	{
+		if (entry.second.expiresAt <= _now)
+		{
+			expired.push_back(entry.first);
+		}
+	}
+	for (const std::string& handle : expired)
+	{
+		this->freeResult(handle);
+	}
+}
+
+Batcher::Call Batcher::endCall(std::uint64_t _batch)
+{
+	const auto found = this->calls.find(_batch);
+	Call call = std::move(found->second);
+	this->calls.erase(found);
+	const auto status = this->endpoints.find(call.endpoint.id);
+	if (status != this->endpoints.end())
+	{
+		status->second.calls -= 1;
+	}
+	for (const QueuedPiece& piece : call.pieces)
+	{
+		this->releaseSpace(call.endpoint.id, piece.order.resultBytes); // Those that were made take theirs again.
+	}
+	return call;
+}
+
+void Batcher::retry(QueuedPiece _piece, const Call& _call, PieceFault _fault, BatchActions& _actions)
+{
+	if (_piece.attempts >= this->config.maxAttempts)
+	{
+		_actions.emplace_back(PieceFailed{_piece.order.orderId, _fault});
+		return;
+	}
+	_piece.avoid = _call.endpoint.id;
+	this->enqueue(this->pools[_call.pool], std::move(_piece));
+}
+
+void Batcher::handleResults(const Call& _call, const BatchAnswered& _answer, Micros _now, BatchActions& _actions)
+{
+	updateRate(this->pools[_call.pool], _call.pieces.size(), _now);
+	for (std::size_t index = 0; index < _call.pieces.size(); ++index)
+	{
+		const QueuedPiece& piece = _call.pieces[index];
+		std::visit(
+			Overloaded{
+				[&](const std::string& _handle)
+				{
+					this->recordResult(_call, piece.order, _handle, _now);
+					_actions.emplace_back(PieceCompleted{piece.order.orderId, _handle, _call.endpoint.failureDomain});
+				},
+				[&](PieceFault _fault)
+				{
+					const bool final = _fault == PieceFault::Late || _fault == PieceFault::InputGone;
+					if (final)
+					{
+						_actions.emplace_back(PieceFailed{piece.order.orderId, _fault});
+						return;
+					}
+					if (_fault == PieceFault::NoSpace)
+					{
+						this->markFull(_call.endpoint.id, _now);
+					}
+					this->retry(piece, _call, _fault, _actions);
+				},
+			},
+			_answer.results[index]);
+	}
+}
+
+BatchActions Batcher::batchEnded(std::uint64_t _batch, const BatchEnd& _end, Micros _now)
+{
+	BatchActions actions;
+	if (this->calls.count(_batch) == 0)
+	{
+		return actions;
+	}
+	const Call call = this->endCall(_batch);
+	const auto found = this->endpoints.find(call.endpoint.id);
+	EndpointStatus* status = found == this->endpoints.end() ? nullptr : &found->second;
+	const auto* answered = std::get_if<BatchAnswered>(&_end);
+	if (answered != nullptr && answered->results.size() == call.pieces.size())
+	{
+		if (status != nullptr)
+		{
+			const double ratio = static_cast<double>(_now - call.startedAt) / static_cast<double>(call.nominalTime);
+			status->slowness += kSlownessSmoothing * (std::min(ratio, kMaxSlowness) - status->slowness);
+			status->failures = 0;
+		}
+		this->handleResults(call, *answered, _now, actions);
+	}
+	else
+	{
+		const bool refused = std::holds_alternative<BatchRefused>(_end);
+		if (status != nullptr)
+		{
+			status->failures += 1;
+			const Micros pause = refused ? this->config.refusedPause : this->config.failurePause;
+			status->pausedUntil = _now + pause * std::min<Micros>(status->failures, 4);
+		}
+		for (const QueuedPiece& piece : call.pieces)
+		{
+			QueuedPiece again = piece;
+			again.attempts -= refused ? 1 : 0; // It did not begin.
+			this->retry(std::move(again), call, refused ? PieceFault::NoEndpoint : PieceFault::Error, actions);
+		}
+	}
+	const BatchActions more = this->tick(_now);
+	actions.insert(actions.end(), more.begin(), more.end());
+	return actions;
+}
+
+void Batcher::expectOtherBatchersUntil(Micros _until)
+{
+	this->otherBatchersUntil = std::max(this->otherBatchersUntil, _until);
+}
+
+void Batcher::reportStarted(Micros _now, BatchActions& _actions)
+{
+	if (_now < this->otherBatchersUntil)
+	{
+		return;
+	}
+	for (auto& entry : this->calls)
+	{
+		Call& call = entry.second;
+		if (call.startReported || _now - call.startedAt < this->config.inputFetchTime)
+		{
+			continue;
+		}
+		call.startReported = true;
+		for (const QueuedPiece& piece : call.pieces)
+		{
+			if (!piece.order.inputs.empty())
+			{
+				_actions.emplace_back(PieceStarted{piece.order.orderId});
+			}
+		}
+	}
+}
+
+void Batcher::expireCalls(Micros _now, BatchActions& _actions)
+{
+	std::vector<std::uint64_t> expired;
+	for (const auto& entry : this->calls)
+	{
+		if (entry.second.deadline <= _now)
+		{
+			expired.push_back(entry.first);
+		}
+	}
+	for (const std::uint64_t batch : expired)
+	{
+		if (this->calls.count(batch) == 0)
+		{
+			continue;
+		}
+		_actions.emplace_back(CancelBatch{batch});
+		const BatchActions more = this->batchEnded(batch, BatchFailed{}, _now);
+		_actions.insert(_actions.end(), more.begin(), more.end());
+	}
+}
+
+BatchActions Batcher::tick(Micros _now)
+{
+	BatchActions actions;
+	this->expireCalls(_now, actions);
+	this->reportStarted(_now, actions);
+	this->expireResults(_now);
+	for (auto& entry : this->pools)
+	{
+		Pool& pool = entry.second;
+		this->dropLate(pool, _now, actions);
+		while (!pool.queue.empty())
+		{
+			EndpointStatus* status = this->chooseEndpoint(entry.first, pool, _now);
+			const std::vector<std::size_t> chosen =
+				status == nullptr ? std::vector<std::size_t>{} : choosePieces(pool, *status, _now);
+			if (chosen.empty())
+			{
+				break;
+			}
+			this->startBatch(entry.first, pool, *status, chosen, _now, actions);
+		}
+	}
+	return actions;
+}
+
+std::optional<Micros> Batcher::waitTime(const std::string& _pool, Micros _now) const
+{
+	const auto found = this->pools.find(_pool);
+	if (found == this->pools.end() || found->second.limits.callTime <= 0)
+	{
+		return std::nullopt;
+	}
+	const BatchLimits& limits = found->second.limits;
+	std::vector<Micros> freeTimes;
+	for (const auto& entry : this->endpoints)
+	{
+		const EndpointStatus& status = entry.second;
+		if (status.listed && !status.endpoint.leaving && status.endpoint.pool == _pool)
+		{
+			const Micros slotFreeAt = status.calls >= limits.slots ? std::max(_now, status.freeAt) : _now;
+			freeTimes.push_back(std::max(slotFreeAt, status.pausedUntil));
+		}
+	}
+	if (freeTimes.empty())
+	{
+		return kSecond;
+	}
+	std::sort(freeTimes.begin(), freeTimes.end());
+	// What the pool makes in a second, at least the part of its capacity that it reaches with short batches.
+	const Micros fullCallTime = limits.callTime + limits.pieceTime * limits.batch;
+	const double nominalRate = static_cast<double>(limits.batch) * static_cast<double>(freeTimes.size()) *
+							   static_cast<double>(kSecond) / static_cast<double>(fullCallTime);
+	const double rate = std::max(found->second.rate, kMinNominalShare * nominalRate);
+	const auto inTime = std::count_if(found->second.queue.begin(), found->second.queue.end(),
+									  [&](const QueuedPiece& _piece) { return _piece.order.due > _now; });
+	const auto wait = static_cast<Micros>(static_cast<double>(inTime) / rate * static_cast<double>(kSecond));
+	return std::max(freeTimes.front() - _now, wait);
+}
+
+std::map<std::string, Micros> Batcher::waitTimes(Micros _now) const
+{
+	std::map<std::string, Micros> waits;
+	for (const auto& entry : this->pools)
+	{
+		if (const auto wait = this->waitTime(entry.first, _now))
+		{
+			waits[entry.first] = *wait;
+		}
+	}
+	return waits;
+}
+
+std::size_t Batcher::queuedPieces(const std::string& _pool) const
+{
+	const auto found = this->pools.find(_pool);
+	return found == this->pools.end() ? 0 : found->second.queue.size();
+}
+
+std::string batchNodeOf(const std::string& _pool, const std::vector<std::string>& _members)
+{
+	return *std::max_element(_members.begin(), _members.end(),
+							 [&](const std::string& _left, const std::string& _right)
+							 {
+								 const std::uint64_t seed = XXH3_64bits(_pool.data(), _pool.size());
+								 return XXH3_64bits_withSeed(_left.data(), _left.size(), seed) <
+										XXH3_64bits_withSeed(_right.data(), _right.size(), seed);
+							 });
+}
+
+} // namespace roadferry
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -66,7 +66,7 @@
 	forward.self = this->link->self();
 	forward.dispatcher = this->settings.dispatcher;
 	forward.dispatcher.seed = randomNumber();
-	forward.pieces.shared = this->settings.sharedBatches;
+	forward.pieces.sharedBatches = this->settings.sharedBatches;
 	forward.lease = std::min(this->settings.changesWithin, this->settings.leavingWithin) - kLeaseMargin;
 	this->traffic = std::make_unique<ForwardTraffic>(
 		this->pool, this->client, *this->wire, this->metrics, forward,
@@ -202,9 +202,9 @@
 			{ onControl([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
 			[&](const FeedNews& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onFeedNews(_peer, _typed); }); },
-			[&](const PieceAsk& _typed) { this->traffic->receive(_peer, _typed); },
-			[&](const PieceGive& _typed) { this->traffic->receive(_peer, _typed); },
-			[&](const PieceDrop& _typed) { this->traffic->receive(_peer, _typed); },
+			[&](const PieceSubmit& _typed) { this->traffic->receive(_peer, _typed); },
+			[&](const PieceUpdate& _typed) { this->traffic->receive(_peer, _typed); },
+			[&](const PieceCancel& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceFree& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const auto&) { logWarning("peer", absl::StrCat(_peer, ": a message for another kind of node")); },
 		},
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -56,7 +56,7 @@
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
-	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
+	const Micros slack = _active.route.target - staged.totalTime() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
 	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
 	// One that comes with less time than its route gives has most likely been turned away before: it is served.
@@ -115,7 +115,7 @@
 	return this->bytesOnward(_active, _stage) >= kLargeResult ? _active.homeDomain : std::string();
 }
 
-PieceOrder ForwardTraffic::orderOf(const Active& _active, const PieceName& _piece) const
+PieceOrder ForwardTraffic::orderOf(const Active& _active, const PieceIndex& _piece) const
 {
 	const RouteStage& stage = _active.route.stages[_piece.stage];
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
@@ -123,14 +123,14 @@
 	const Micros after = stages + this->firstEventTime(_active.pool);
 	PieceOrder order;
 	order.request = _active.request.id;
-	order.name = _piece;
+	order.index = _piece;
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
 	order.deadline = std::min(_active.stagesUntil - stages, _active.giveUpAt - after);
 	order.due = _active.arrived + _active.route.target - after;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
-	order.nearDomain = this->domainFor(_active, _piece.stage);
+	order.preferredDomain = this->domainFor(_active, _piece.stage);
 	return order;
 }
 
@@ -139,12 +139,12 @@
 	const bool first = !std::exchange(_active->admissionAsked, true);
 	std::optional<AdmissionTerms> terms = first ? std::optional(this->termsOf(*_active)) : std::nullopt;
 	std::map<std::string, std::vector<PieceOrder>> byPool;
-	for (const PieceName& piece : _active->graph.takeReady())
+	for (const PieceIndex& piece : _active->graph.takeReady())
 	{
 		PieceOrder order = this->orderOf(*_active, piece);
-		order.order = ++this->lastOrder;
-		_active->orders.insert(order.order);
-		this->pieceOrders.emplace(order.order, std::make_pair(_active->id, piece));
+		order.orderId = ++this->lastOrder;
+		_active->orders.insert(order.orderId);
+		this->pieceOrders.emplace(order.orderId, std::make_pair(_active->id, piece));
 		byPool[_active->route.stages[piece.stage].pool].push_back(std::move(order));
 	}
 	for (const auto& entry : byPool)
@@ -153,27 +153,27 @@
 				 {{"request", _active->request.id},
 				  {"pool", entry.first},
 				  {"pieces", entry.second.size()},
-				  {"first_stage", entry.second.front().name.stage},
+				  {"first_stage", entry.second.front().index.stage},
 				  {"waited_ms", (monotonicNow() - _active->arrived) / kMillisecond}});
-		this->pieces.order(entry.first, entry.second, std::exchange(terms, std::nullopt));
+		this->pieces.submit(entry.first, entry.second, std::exchange(terms, std::nullopt));
 	}
 }
 
 void ForwardTraffic::pieceStarted(const PieceStarted& _started)
 {
-	const auto found = this->pieceOrders.find(_started.order);
+	const auto found = this->pieceOrders.find(_started.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		return;
 	}
 	const ActivePointer active = this->find(found->second.first);
-	active->graph.started(found->second.second);
-	this->pieces.free(active->graph.takeSpent());
+	active->graph.markStarted(found->second.second);
+	this->pieces.free(active->graph.takeUnneeded());
 }
 
-void ForwardTraffic::pieceMade(const PieceMade& _made)
+void ForwardTraffic::pieceMade(const PieceCompleted& _made)
 {
-	const auto found = this->pieceOrders.find(_made.order);
+	const auto found = this->pieceOrders.find(_made.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		this->pieces.free({_made.handle});
@@ -182,11 +182,11 @@
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
 	const ActivePointer active = this->find(request);
-	active->orders.erase(_made.order);
-	active->graph.made(piece, _made.handle);
+	active->orders.erase(_made.orderId);
+	active->graph.markCompleted(piece, _made.handle);
 	active->domainOf[_made.handle] = _made.failureDomain;
-	this->pieces.free(active->graph.takeSpent());
-	if (active->graph.complete())
+	this->pieces.free(active->graph.takeUnneeded());
+	if (active->graph.isComplete())
 	{
 		this->submit(active);
 		return;
@@ -196,7 +196,7 @@
 
 void ForwardTraffic::pieceFailed(const PieceFailed& _failed)
 {
-	const auto found = this->pieceOrders.find(_failed.order);
+	const auto found = this->pieceOrders.find(_failed.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		return;
@@ -204,7 +204,7 @@
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
 	const ActivePointer active = this->find(request);
-	active->orders.erase(_failed.order);
+	active->orders.erase(_failed.orderId);
 	logEvent("request", "piece_failed",
 			 {{"request", active->request.id},
 			  {"stage", piece.stage},
@@ -216,7 +216,7 @@
 		this->remake(active);
 		return;
 	}
-	if (_failed.fault == PieceFault::Crowded)
+	if (_failed.fault == PieceFault::NotAdmitted)
 	{
 		// Later, when the backlog has gone down, it can still be in time; now it would be late, and hold others up.
 		this->giveUp(active, Reason::WouldBeLate, comeBackAfter(*active));
@@ -244,7 +244,7 @@
 		this->pieceOrders.erase(order);
 	}
 	this->pieces.cancel(orders);
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 	_active->graph = StageGraph(_active->route.stages, _active->request.pieceCounts);
 	this->deadlines.emplace(_active->stagesUntil, _active->id);
 	this->orderPieces(_active);
@@ -278,7 +278,7 @@
 void ForwardTraffic::freeInputs(const ActivePointer& _active)
 {
 	_active->inputsFreed = true;
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 }
 
 } // namespace roadferry
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -72,7 +72,7 @@
 	  lease(_settings.lease),
 	  pieces(_client, _wire, PieceScheduler(_settings.self, _settings.pieces),
 			 PieceHandlers{[this](const PieceStarted& _started) { this->pieceStarted(_started); },
-						   [this](const PieceMade& _made) { this->pieceMade(_made); },
+						   [this](const PieceCompleted& _made) { this->pieceMade(_made); },
 						   [this](const PieceFailed& _failed) { this->pieceFailed(_failed); }, std::move(_send)})
 {
 }
@@ -294,7 +294,7 @@
 	{
 		return; // The client had left already.
 	}
-	if (_active->graph.complete())
+	if (_active->graph.isComplete())
 	{
 		this->submit(_active);
 		return;
@@ -539,7 +539,7 @@
 	{
 		this->pieces.cancel(orders);
 	}
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 	this->metrics.requestEnded(_active->route.streaming ? "streaming" : "plain", _outcome,
 							   static_cast<double>(took) / kMicrosPerSecond);
 	const ForwardAnswer::StreamTimes& times = _active->answer.times();
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -84,11 +84,11 @@
 	void begin(const ActivePointer& _active);
 	ActivePointer find(std::uint64_t _id);
 	void orderPieces(const ActivePointer& _active);
-	[[nodiscard]] PieceOrder orderOf(const Active& _active, const PieceName& _piece) const;
+	[[nodiscard]] PieceOrder orderOf(const Active& _active, const PieceIndex& _piece) const;
 	[[nodiscard]] std::int64_t bytesOnward(const Active& _active, std::size_t _stage) const;
 	[[nodiscard]] std::string domainFor(const Active& _active, std::size_t _stage) const;
 	void pieceStarted(const PieceStarted& _started);
-	void pieceMade(const PieceMade& _made);
+	void pieceMade(const PieceCompleted& _made);
 	void pieceFailed(const PieceFailed& _failed);
 	void remake(const ActivePointer& _active);
 	void measureFirstEvent(const Active& _active);
@@ -122,7 +122,7 @@
 	PieceRunner pieces;
 	std::shared_ptr<const RoutePlan> plan;
 	std::unordered_map<std::uint64_t, ActivePointer> actives;
-	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceName>>
+	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceIndex>>
 		pieceOrders;                                      ///< Request and piece, by order.
 	std::set<std::pair<Micros, std::uint64_t>> deadlines; ///< Of requests whose pieces are being made.
 	std::map<std::string, double> firstEventTimes; ///< Microseconds from sending to a stream's first event, by pool.
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -142,9 +142,9 @@
 			[](const RoutesGive&) {},
 			[](const FeedAsk&) {},
 			[](const FeedNews&) {},
-			[](const PieceAsk&) {},
-			[](const PieceGive&) {},
-			[](const PieceDrop&) {},
+			[](const PieceSubmit&) {},
+			[](const PieceUpdate&) {},
+			[](const PieceCancel&) {},
 			[](const PieceFree&) {},
 		},
 		*message);
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -333,15 +333,15 @@
 	}
 	if (_type == "piece_ask")
 	{
-		return readPieceAsk(_reader);
+		return readPieceSubmit(_reader);
 	}
 	if (_type == "piece_give")
 	{
-		return readPieceGive(_reader);
+		return readPieceUpdate(_reader);
 	}
 	if (_type == "piece_drop")
 	{
-		return PieceDrop{_reader.naturals("orders")};
+		return PieceCancel{_reader.naturals("orders")};
 	}
 	if (_type == "piece_free")
 	{
--- a/src/piece_messages.cpp
+++ b/src/piece_messages.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-constexpr std::int64_t kFaults = 6;
-constexpr qsizetype kOrderFields = 11;
+constexpr std::int64_t kFaultCount = 6;
+constexpr qsizetype kOrderFieldCount = 11;
 
 std::vector<std::string> textsOf(const QCborArray& _array)
 {
@@ -29,38 +29,38 @@
 
 QCborArray orderToCbor(const PieceOrder& _order)
 {
-	return QCborArray{static_cast<qint64>(_order.order),
+	return QCborArray{static_cast<qint64>(_order.orderId),
 					  text(_order.request),
-					  static_cast<qint64>(_order.name.stage),
-					  static_cast<qint64>(_order.name.piece),
+					  static_cast<qint64>(_order.index.stage),
+					  static_cast<qint64>(_order.index.piece),
 					  text(_order.key),
 					  textArray(_order.inputs),
 					  static_cast<qint64>(_order.deadline),
 					  static_cast<qint64>(_order.due),
 					  static_cast<qint64>(_order.priority),
 					  static_cast<qint64>(_order.resultBytes),
-					  text(_order.nearDomain)};
+					  text(_order.preferredDomain)};
 }
 
 PieceOrder orderFromCbor(const QCborArray& _fields)
 {
 	PieceOrder order;
-	order.order = static_cast<std::uint64_t>(_fields.at(0).toInteger());
+	order.orderId = static_cast<std::uint64_t>(_fields.at(0).toInteger());
 	order.request = _fields.at(1).toString().toStdString();
-	order.name.stage = static_cast<std::size_t>(_fields.at(2).toInteger());
-	order.name.piece = static_cast<std::size_t>(_fields.at(3).toInteger());
+	order.index.stage = static_cast<std::size_t>(_fields.at(2).toInteger());
+	order.index.piece = static_cast<std::size_t>(_fields.at(3).toInteger());
 	order.key = _fields.at(4).toString().toStdString();
 	order.inputs = textsOf(_fields.at(5).toArray());
 	order.deadline = _fields.at(6).toInteger();
 	order.due = _fields.at(7).toInteger();
 	order.priority = _fields.at(8).toInteger();
 	order.resultBytes = _fields.at(9).toInteger();
-	order.nearDomain = _fields.at(10).toString().toStdString();
+	order.preferredDomain = _fields.at(10).toString().toStdString();
 	return order;
 }
 
 /// Set only in the first ask for a request.
-std::optional<AdmissionTerms> readTerms(CborReader& _reader)
+std::optional<AdmissionTerms> readAdmissionTerms(CborReader& _reader)
 {
 	if (_reader.value("demand").isUndefined())
 	{
@@ -78,7 +78,7 @@
 
 } // namespace
 
-QCborMap toCbor(const PieceAsk& _message)
+QCborMap toCbor(const PieceSubmit& _message)
 {
 	QCborArray orders;
 	for (const PieceOrder& order : _message.orders)
@@ -100,32 +100,33 @@
 	return map;
 }
 
-QCborMap toCbor(const PieceGive& _message)
+QCborMap toCbor(const PieceUpdate& _message)
 {
 	QCborArray started;
 	for (const PieceStarted& piece : _message.started)
 	{
-		started.append(static_cast<qint64>(piece.order));
+		started.append(static_cast<qint64>(piece.orderId));
 	}
-	QCborArray made;
-	for (const PieceMade& piece : _message.made)
+	QCborArray completed;
+	for (const PieceCompleted& piece : _message.completed)
 	{
-		made.append(QCborArray{static_cast<qint64>(piece.order), text(piece.handle), text(piece.failureDomain)});
+		completed.append(QCborArray{static_cast<qint64>(piece.orderId), text(piece.handle), text(piece.failureDomain)});
 	}
 	QCborArray failed;
 	for (const PieceFailed& piece : _message.failed)
 	{
-		failed.append(QCborArray{static_cast<qint64>(piece.order), static_cast<qint64>(piece.fault)});
+		failed.append(QCborArray{static_cast<qint64>(piece.orderId), static_cast<qint64>(piece.fault)});
 	}
 	QCborMap waits;
 	for (const auto& entry : _message.waits)
 	{
 		waits.insert(text(entry.first), static_cast<qint64>(entry.second));
 	}
-	return QCborMap{{"type", "piece_give"}, {"started", started}, {"made", made}, {"failed", failed}, {"waits", waits}};
+	return QCborMap{
+		{"type", "piece_give"}, {"started", started}, {"made", completed}, {"failed", failed}, {"waits", waits}};
 }
 
-QCborMap toCbor(const PieceDrop& _message)
+QCborMap toCbor(const PieceCancel& _message)
 {
 	QCborArray orders;
 	for (const std::uint64_t order : _message.orders)
@@ -140,34 +141,36 @@
 	return QCborMap{{"type", "piece_free"}, {"handles", textArray(_message.handles)}};
 }
 
-PieceAsk readPieceAsk(CborReader& _reader)
+PieceSubmit readPieceSubmit(CborReader& _reader)
 {
-	PieceAsk message;
+	PieceSubmit message;
 	message.pool = _reader.text("pool");
-	for (const QCborArray& fields : _reader.arrays("orders", kOrderFields))
+	for (const QCborArray& fields : _reader.arrays("orders", kOrderFieldCount))
 	{
 		message.orders.push_back(orderFromCbor(fields));
 	}
-	message.admission = readTerms(_reader);
+	message.admission = readAdmissionTerms(_reader);
 	return message;
 }
 
-PieceGive readPieceGive(CborReader& _reader)
+PieceUpdate readPieceUpdate(CborReader& _reader)
 {
-	PieceGive message;
+	PieceUpdate message;
 	for (const std::uint64_t order : _reader.naturals("started"))
 	{
 		message.started.push_back(PieceStarted{order});
 	}
 	for (const QCborArray& fields : _reader.arrays("made", 3))
 	{
-		message.made.push_back(PieceMade{static_cast<std::uint64_t>(fields.at(0).toInteger()),
-										 fields.at(1).toString().toStdString(), fields.at(2).toString().toStdString()});
+		message.completed.push_back(PieceCompleted{static_cast<std::uint64_t>(fields.at(0).toInteger()),
+												   fields.at(1).toString().toStdString(),
+												   fields.at(2).toString().toStdString()});
 	}
 	for (const QCborArray& fields : _reader.arrays("failed", 2))
 	{
-		message.failed.push_back(PieceFailed{static_cast<std::uint64_t>(fields.at(0).toInteger()),
-											 static_cast<PieceFault>(_reader.below(fields.at(1), kFaults, "failed"))});
+		message.failed.push_back(
+			PieceFailed{static_cast<std::uint64_t>(fields.at(0).toInteger()),
+						static_cast<PieceFault>(_reader.below(fields.at(1), kFaultCount, "failed"))});
 	}
 	message.waits = _reader.numbers("waits");
 	return message;
--- a/src/piece_messages.h
+++ b/src/piece_messages.h
@@ -16,14 +16,14 @@
 namespace roadferry
 {
 
-QCborMap toCbor(const PieceAsk& _message);
-QCborMap toCbor(const PieceGive& _message);
-QCborMap toCbor(const PieceDrop& _message);
+QCborMap toCbor(const PieceSubmit& _message);
+QCborMap toCbor(const PieceUpdate& _message);
+QCborMap toCbor(const PieceCancel& _message);
 QCborMap toCbor(const PieceFree& _message);
 
 /// Faults are kept by the reader.
-PieceAsk readPieceAsk(CborReader& _reader);
-PieceGive readPieceGive(CborReader& _reader);
+PieceSubmit readPieceSubmit(CborReader& _reader);
+PieceUpdate readPieceUpdate(CborReader& _reader);
 
 } // namespace roadferry
 
--- a/src/piece_runner.cpp
+++ b/src/piece_runner.cpp
@@ -23,15 +23,16 @@
 constexpr Micros kConnectTimeout = 400 * kMillisecond; ///< Across failure domains a connection opens in 2 ms.
 constexpr Micros kFreeTimeout = kSecond;
 
-std::string_view nameOfEnd(const BatchEnd& _end)
+std::string_view outcomeName(const BatchEnd& _end)
 {
 	return std::visit(Overloaded{[](const BatchAnswered&) { return "answered"; },
-								 [](const BatchRefused&) { return "refused"; }, [](const BatchCut&) { return "cut"; }},
+								 [](const BatchRefused&) { return "refused"; },
+								 [](const BatchFailed&) { return "cut"; }},
 					  _end);
 }
 
 /// @returns How many pieces were not made, by reason.
-std::string faultsOf(const BatchEnd& _end)
+std::string faultCounts(const BatchEnd& _end)
 {
 	const auto* answered = std::get_if<BatchAnswered>(&_end);
 	std::map<std::string, std::size_t> counts;
@@ -49,32 +50,32 @@
 }
 
 /// One line for each batch: which pieces of which requests, and how long until they are due.
-void logBatch(const StartBatch& _batch, std::uint64_t _listing, Micros _now)
+void logBatch(const StartBatch& _batch, std::uint64_t _listingPosition, Micros _now)
 {
 	std::string pieces;
 	for (const PieceOrder& order : _batch.orders)
 	{
-		absl::StrAppend(&pieces, pieces.empty() ? "" : " ", order.request, "/", order.name.stage, "/", order.name.piece,
-						"/", (order.due - _now) / kMillisecond);
+		absl::StrAppend(&pieces, pieces.empty() ? "" : " ", order.request, "/", order.index.stage, "/",
+						order.index.piece, "/", (order.due - _now) / kMillisecond);
 	}
 	logEvent("pieces", "batch_started",
 			 {{"batch", _batch.batch},
 			  {"pool", _batch.pool},
 			  {"endpoint", _batch.endpoint.id},
-			  {"listing", _listing},
+			  {"listing", _listingPosition},
 			  {"pieces", pieces}});
 }
 
 /// Why a request was not let in. The node that asked logs what it answered.
-void logCrowded(const RequestCrowded& _crowded)
+void logNotAdmitted(const RequestNotAdmitted& _refused)
 {
 	const auto inMs = [](std::string* _out, const auto& _entry)
 	{ absl::StrAppend(_out, _entry.first, "=", _entry.second / kMillisecond); };
 	logEvent("pieces", "request_crowded",
-			 {{"request", _crowded.request},
-			  {"from", _crowded.from},
-			  {"wait_most_ms", _crowded.waitMost / kMillisecond},
-			  {"waits_ms", absl::StrJoin(_crowded.waits, " ", inMs)}});
+			 {{"request", _refused.request},
+			  {"from", _refused.from},
+			  {"wait_most_ms", _refused.maxWait / kMillisecond},
+			  {"waits_ms", absl::StrJoin(_refused.waits, " ", inMs)}});
 }
 
 } // namespace
@@ -91,7 +92,7 @@
 
 void PieceRunner::setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position)
 {
-	this->listing = _position;
+	this->listingPosition = _position;
 	this->scheduler.setEndpoints(_endpoints);
 	this->tick();
 }
@@ -101,10 +102,10 @@
 	this->scheduler.setMembers(_members, monotonicNow());
 }
 
-void PieceRunner::order(const std::string& _pool, const std::vector<PieceOrder>& _orders,
-						const std::optional<AdmissionTerms>& _admission)
+void PieceRunner::submit(const std::string& _pool, const std::vector<PieceOrder>& _orders,
+						 const std::optional<AdmissionTerms>& _admission)
 {
-	this->perform(this->scheduler.order(_pool, _orders, _admission, monotonicNow()));
+	this->perform(this->scheduler.submit(_pool, _orders, _admission, monotonicNow()));
 }
 
 void PieceRunner::cancel(const std::vector<std::uint64_t>& _orders)
@@ -114,16 +115,16 @@
 
 void PieceRunner::free(const std::vector<std::string>& _handles)
 {
-	this->spent.insert(this->spent.end(), _handles.begin(), _handles.end());
+	this->unneededResults.insert(this->unneededResults.end(), _handles.begin(), _handles.end());
 }
 
 /// A result that nobody wants is to be dropped by the endpoint that keeps it.
-void PieceRunner::freeAt(const std::string& _handle)
+void PieceRunner::queueFree(const std::string& _handle)
 {
-	const std::string keeper = this->wire.keeperOf(_handle);
-	if (!keeper.empty())
+	const std::string address = this->wire.keeperOf(_handle);
+	if (!address.empty())
 	{
-		this->frees[keeper].push_back(_handle);
+		this->pendingFrees[address].push_back(_handle);
 	}
 }
 
@@ -139,9 +140,9 @@
 
 void PieceRunner::tick()
 {
-	if (!this->spent.empty())
+	if (!this->unneededResults.empty())
 	{
-		this->perform(this->scheduler.free(std::exchange(this->spent, {}), monotonicNow()));
+		this->perform(this->scheduler.free(std::exchange(this->unneededResults, {}), monotonicNow()));
 	}
 	this->perform(this->scheduler.tick(monotonicNow()));
 	this->sendFrees();
@@ -156,11 +157,11 @@
 				[&](const StartBatch& _start) { this->start(_start); },
 				[&](const CancelBatch& _cancel) { this->cancelCall(_cancel.batch); },
 				[&](const PieceStarted& _started) { this->handlers.onStarted(_started); },
-				[&](const PieceMade& _made) { this->handlers.onMade(_made); },
+				[&](const PieceCompleted& _completed) { this->handlers.onCompleted(_completed); },
 				[&](const PieceFailed& _failed) { this->handlers.onFailed(_failed); },
 				[&](const SendPieceMessage& _send) { this->handlers.send(_send.to, _send.message); },
-				[&](const FreeResult& _free) { this->freeAt(_free.handle); },
-				[&](const RequestCrowded& _crowded) { logCrowded(_crowded); },
+				[&](const FreeResult& _free) { this->queueFree(_free.handle); },
+				[&](const RequestNotAdmitted& _refused) { logNotAdmitted(_refused); },
 			},
 			action);
 	}
@@ -169,12 +170,12 @@
 void PieceRunner::start(const StartBatch& _batch)
 {
 	const Micros now = monotonicNow();
-	logBatch(_batch, this->listing, now);
+	logBatch(_batch, this->listingPosition, now);
 	CallSpec spec;
 	spec.address = _batch.endpoint.address;
 	spec.request = this->wire.batchRequest(_batch, now);
 	spec.timeout =
-		_batch.giveUpAt - now + kConnectTimeout; // The scheduler gives up first; this is for when it does not.
+		_batch.deadline - now + kConnectTimeout; // The scheduler gives up first; this is for when it does not.
 	spec.connectTimeout = kConnectTimeout;
 	spec.noticeSilence = true;
 	CallHandlers calls;
@@ -188,8 +189,8 @@
 				  {"pool", pool},
 				  {"endpoint", endpoint},
 				  {"pieces", size},
-				  {"end", std::string(nameOfEnd(end))},
-				  {"faults", faultsOf(end)},
+				  {"end", std::string(outcomeName(end))},
+				  {"faults", faultCounts(end)},
 				  {"status", _end.status},
 				  {"error", _end.error},
 				  {"took_ms", (monotonicNow() - now) / kMillisecond}});
@@ -212,7 +213,7 @@
 
 void PieceRunner::sendFrees()
 {
-	const auto collected = std::exchange(this->frees, {});
+	const auto collected = std::exchange(this->pendingFrees, {});
 	for (const auto& entry : collected)
 	{
 		CallSpec spec;
--- a/src/piece_runner.h
+++ b/src/piece_runner.h
@@ -18,7 +18,7 @@
 struct PieceHandlers
 {
 	std::function<void(const PieceStarted&)> onStarted;
-	std::function<void(const PieceMade&)> onMade;
+	std::function<void(const PieceCompleted&)> onCompleted;
 	std::function<void(const PieceFailed&)> onFailed;
 	std::function<void(const std::string& _to, const PieceMessage&)> send;
 };
@@ -34,8 +34,8 @@
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
 	void setMembers(const std::vector<std::string>& _members);
 
-	void order(const std::string& _pool, const std::vector<PieceOrder>& _orders,
-			   const std::optional<AdmissionTerms>& _admission);
+	void submit(const std::string& _pool, const std::vector<PieceOrder>& _orders,
+				const std::optional<AdmissionTerms>& _admission);
 	void cancel(const std::vector<std::uint64_t>& _orders);
 
 	/// Results are not needed any more. They are collected until the next tick.
@@ -49,17 +49,17 @@
 	void perform(const PieceActions& _actions);
 	void start(const StartBatch& _batch);
 	void cancelCall(std::uint64_t _batch);
-	void freeAt(const std::string& _handle);
+	void queueFree(const std::string& _handle);
 	void sendFrees();
 
 	HttpClient& client;
 	const Wire& wire;
 	PieceScheduler scheduler;
 	PieceHandlers handlers;
-	std::uint64_t listing = 0;                                ///< Position of the listing in use.
-	std::map<std::uint64_t, std::shared_ptr<HttpCall>> calls; ///< By batch.
-	std::vector<std::string> spent;                           ///< Results that nobody needs, until the next tick.
-	std::map<std::string, std::vector<std::string>> frees;    ///< Results to drop, by the endpoint that keeps them.
+	std::uint64_t listingPosition = 0;                            ///< Position of the listing in use.
+	std::map<std::uint64_t, std::shared_ptr<HttpCall>> calls;     ///< By batch.
+	std::vector<std::string> unneededResults;                     ///< Results that nobody needs, until the next tick.
+	std::map<std::string, std::vector<std::string>> pendingFrees; ///< Results to drop, by the endpoint that keeps them.
 };
 
 } // namespace roadferry
--- a/src/piece_scheduler.cpp
+++ b/src/piece_scheduler.cpp
@@ -15,39 +15,39 @@
 {
 
 PieceScheduler::PieceScheduler(std::string _self, PieceSchedulerConfig _config)
-	: self(std::move(_self)), config(_config), maker(_config.batches), admission(_config.admission), members({self})
+	: self(std::move(_self)), config(_config), batcher(_config.batches), admission(_config.admission), members({self})
 {
 }
 
 void PieceScheduler::setPools(const std::vector<PoolSpec>& _pools)
 {
-	this->maker.setPools(_pools);
+	this->batcher.setPools(_pools);
 	this->admission.setPools(_pools);
 }
 
 void PieceScheduler::setEndpoints(const std::vector<Endpoint>& _endpoints)
 {
-	this->maker.setEndpoints(_endpoints);
+	this->batcher.setEndpoints(_endpoints);
 	this->admission.setEndpoints(_endpoints);
 }
 
 void PieceScheduler::setMembers(const std::vector<std::string>& _members, Micros _now)
 {
-	this->maker.expectOthersUntil(_now + this->config.handover);
+	this->batcher.expectOtherBatchersUntil(_now + this->config.handoverTime);
 	this->members = _members;
 }
 
 std::string PieceScheduler::nodeOf(const std::string& _pool, Micros _now) const
 {
-	if (!this->config.shared)
+	if (!this->config.sharedBatches)
 	{
 		return this->self;
 	}
 	std::vector<std::string> candidates;
 	for (const std::string& member : this->members)
 	{
-		const auto silent = this->silentUntil.find(member);
-		if (silent == this->silentUntil.end() || silent->second <= _now)
+		const auto silent = this->excludedUntil.find(member);
+		if (silent == this->excludedUntil.end() || silent->second <= _now)
 		{
 			candidates.push_back(member);
 		}
@@ -60,13 +60,13 @@
 	return std::find(this->members.begin(), this->members.end(), _node) != this->members.end();
 }
 
-void PieceScheduler::makeHere(const std::string& _pool, const std::string& _peer, const PieceOrder& _order, Micros _now)
+void PieceScheduler::addLocal(const std::string& _pool, const std::string& _peer, const PieceOrder& _order, Micros _now)
 {
-	PieceOrder numbered = _order;
-	numbered.order = ++this->lastNumber;
-	this->inHand.emplace(numbered.order, InHand{_peer, _order.order, true});
-	this->numberOf[{_peer, _order.order}] = numbered.order;
-	this->maker.add(_pool, numbered, _now);
+	PieceOrder local = _order;
+	local.orderId = ++this->lastLocalId;
+	this->localOrders.emplace(local.orderId, LocalOrder{_peer, _order.orderId, true});
+	this->localIds[{_peer, _order.orderId}] = local.orderId;
+	this->batcher.add(_pool, local, _now);
 }
 
 void PieceScheduler::send(const std::string& _to, PieceMessage _message, PieceActions& _actions)
@@ -75,112 +75,112 @@
 }
 
 /// Whether the request of these pieces is let in; only its first pieces are asked for with terms.
-bool PieceScheduler::admits(const std::string& _from, const PieceAsk& _ask, Micros _now, PieceActions& _actions)
+bool PieceScheduler::admit(const std::string& _from, const PieceSubmit& _submit, Micros _now, PieceActions& _actions)
 {
-	if (!_ask.admission)
+	if (!_submit.admission)
 	{
 		return true;
 	}
 	std::map<std::string, Micros> waits;
-	for (const PoolDemand& demand : _ask.admission->demand)
+	for (const PoolDemand& demand : _submit.admission->demand)
 	{
 		waits[demand.pool] = this->waitTime(demand.pool, _now);
 	}
-	const AdmissionVerdict verdict = this->admission.admit(*_ask.admission, waits, _now);
+	const AdmissionVerdict verdict = this->admission.admit(*_submit.admission, waits, _now);
 	if (!verdict.admitted)
 	{
-		const std::string request = _ask.orders.empty() ? std::string() : _ask.orders.front().request;
-		_actions.emplace_back(RequestCrowded{request, _from, _ask.admission->waitMost, verdict.waits});
+		const std::string request = _submit.orders.empty() ? std::string() : _submit.orders.front().request;
+		_actions.emplace_back(RequestNotAdmitted{request, _from, _submit.admission->waitMost, verdict.waits});
 	}
 	return verdict.admitted;
 }
 
-void PieceScheduler::place(const PieceAsk& _ask, Micros _now, PieceActions& _actions)
+void PieceScheduler::assign(const PieceSubmit& _submit, Micros _now, PieceActions& _actions)
 {
-	const std::string node = this->nodeOf(_ask.pool, _now);
+	const std::string node = this->nodeOf(_submit.pool, _now);
 	if (node == this->self)
 	{
-		const bool admitted = this->admits({}, _ask, _now, _actions);
-		for (const PieceOrder& order : _ask.orders)
+		const bool admitted = this->admit({}, _submit, _now, _actions);
+		for (const PieceOrder& order : _submit.orders)
 		{
 			if (admitted)
 			{
-				this->makeHere(_ask.pool, {}, order, _now);
+				this->addLocal(_submit.pool, {}, order, _now);
 			}
 			else
 			{
-				_actions.emplace_back(PieceFailed{order.order, PieceFault::Crowded});
+				_actions.emplace_back(PieceFailed{order.orderId, PieceFault::NotAdmitted});
 			}
 		}
 		return;
 	}
-	PieceAsk ask = _ask;
-	for (PieceOrder& order : ask.orders)
+	PieceSubmit submit = _submit;
+	for (PieceOrder& order : submit.orders)
 	{
-		this->away[order.order] = Away{node, ask.pool, order};
+		this->remoteOrders[order.orderId] = RemoteOrder{node, submit.pool, order};
 		order.deadline -= _now;
 		order.due -= _now;
 	}
-	this->heardAt.try_emplace(node, _now);
-	this->send(node, std::move(ask), _actions);
+	this->lastHeardAt.try_emplace(node, _now);
+	this->send(node, std::move(submit), _actions);
 }
 
-PieceActions PieceScheduler::order(const std::string& _pool, const std::vector<PieceOrder>& _orders,
-								   const std::optional<AdmissionTerms>& _admission, Micros _now)
+PieceActions PieceScheduler::submit(const std::string& _pool, const std::vector<PieceOrder>& _orders,
+									const std::optional<AdmissionTerms>& _admission, Micros _now)
 {
 	PieceActions actions;
-	this->place(PieceAsk{_pool, _orders, _admission}, _now, actions);
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->assign(PieceSubmit{_pool, _orders, _admission}, _now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	return actions;
 }
 
 PieceActions PieceScheduler::cancel(const std::vector<std::uint64_t>& _orders, Micros _now)
 {
 	PieceActions actions;
-	std::map<std::string, PieceDrop> drops;
+	std::map<std::string, PieceCancel> cancellations;
 	for (const std::uint64_t order : _orders)
 	{
-		const auto found = this->away.find(order);
-		if (found != this->away.end())
+		const auto found = this->remoteOrders.find(order);
+		if (found != this->remoteOrders.end())
 		{
-			drops[found->second.peer].orders.push_back(order);
-			this->away.erase(found);
+			cancellations[found->second.peer].orders.push_back(order);
+			this->remoteOrders.erase(found);
 			continue;
 		}
-		this->onDrop({}, PieceDrop{{order}});
+		this->onCancel({}, PieceCancel{{order}});
 	}
-	for (auto& entry : drops)
+	for (auto& entry : cancellations)
 	{
 		this->send(entry.first, std::move(entry.second), actions);
 	}
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	return actions;
 }
 
-void PieceScheduler::onDrop(const std::string& _from, const PieceDrop& _drop)
+void PieceScheduler::onCancel(const std::string& _from, const PieceCancel& _cancel)
 {
-	for (const std::uint64_t order : _drop.orders)
+	for (const std::uint64_t order : _cancel.orders)
 	{
-		const auto number = this->numberOf.find({_from, order});
-		if (number == this->numberOf.end())
+		const auto localId = this->localIds.find({_from, order});
+		if (localId == this->localIds.end())
 		{
 			continue;
 		}
-		if (this->maker.cancel(number->second))
+		if (this->batcher.cancel(localId->second))
 		{
-			this->inHand.erase(number->second);
-			this->numberOf.erase(number);
+			this->localOrders.erase(localId->second);
+			this->localIds.erase(localId);
 			continue;
 		}
-		this->inHand.at(number->second).wanted = false;
+		this->localOrders.at(localId->second).wanted = false;
 	}
 }
 
-void PieceScheduler::freeHere(const std::vector<std::string>& _handles, PieceActions& _actions)
+void PieceScheduler::freeLocally(const std::vector<std::string>& _handles, PieceActions& _actions)
 {
 	for (const std::string& handle : _handles)
 	{
-		this->maker.freed(handle);
+		this->batcher.freeResult(handle);
 		_actions.emplace_back(FreeResult{handle});
 	}
 }
@@ -188,93 +188,94 @@
 PieceActions PieceScheduler::free(const std::vector<std::string>& _handles, Micros _now)
 {
 	PieceActions actions;
-	std::vector<std::string> here;
-	std::map<std::string, PieceFree> elsewhere;
+	std::vector<std::string> local;
+	std::map<std::string, PieceFree> remote;
 	for (const std::string& handle : _handles)
 	{
-		const auto found = this->makerOf.find(handle);
+		const auto found = this->nodeOfHandle.find(handle);
 		const auto silent =
-			found == this->makerOf.end() ? this->silentUntil.end() : this->silentUntil.find(found->second);
+			found == this->nodeOfHandle.end() ? this->excludedUntil.end() : this->excludedUntil.find(found->second);
 		// A node that has left or fell silent would not pass it on, and the endpoint would keep the result for seconds.
-		const bool away = found != this->makerOf.end() && !this->isMember(found->second);
-		if (found == this->makerOf.end() || away || (silent != this->silentUntil.end() && silent->second > _now))
+		const bool departed = found != this->nodeOfHandle.end() && !this->isMember(found->second);
+		if (found == this->nodeOfHandle.end() || departed ||
+			(silent != this->excludedUntil.end() && silent->second > _now))
 		{
-			here.push_back(handle);
+			local.push_back(handle);
 		}
 		else
 		{
-			elsewhere[found->second].handles.push_back(handle);
+			remote[found->second].handles.push_back(handle);
 		}
-		this->makerOf.erase(handle);
+		this->nodeOfHandle.erase(handle);
 	}
-	this->freeHere(here, actions);
-	for (auto& entry : elsewhere)
+	this->freeLocally(local, actions);
+	for (auto& entry : remote)
 	{
 		this->send(entry.first, std::move(entry.second), actions);
 	}
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	return actions;
 }
 
-void PieceScheduler::onAsk(const std::string& _from, const PieceAsk& _ask, Micros _now, PieceActions& _actions)
+void PieceScheduler::onSubmit(const std::string& _from, const PieceSubmit& _submit, Micros _now, PieceActions& _actions)
 {
-	if (!this->admits(_from, _ask, _now, _actions))
+	if (!this->admit(_from, _submit, _now, _actions))
 	{
-		PieceGive refusal;
-		for (const PieceOrder& order : _ask.orders)
+		PieceUpdate refusal;
+		for (const PieceOrder& order : _submit.orders)
 		{
-			refusal.failed.push_back(PieceFailed{order.order, PieceFault::Crowded});
+			refusal.failed.push_back(PieceFailed{order.orderId, PieceFault::NotAdmitted});
 		}
 		this->send(_from, std::move(refusal), _actions);
 		return;
 	}
-	this->toldAt.try_emplace(_from, _now);
-	for (const PieceOrder& asked : _ask.orders)
+	this->lastUpdateAt.try_emplace(_from, _now);
+	for (const PieceOrder& received : _submit.orders)
 	{
-		PieceOrder order = asked;
+		PieceOrder order = received;
 		order.deadline += _now;
 		order.due += _now;
-		this->makeHere(_ask.pool, _from, order, _now);
+		this->addLocal(_submit.pool, _from, order, _now);
 	}
 }
 
-void PieceScheduler::onGive(const std::string& _from, const PieceGive& _give, Micros _now, PieceActions& _actions)
+void PieceScheduler::onUpdate(const std::string& _from, const PieceUpdate& _update, Micros _now, PieceActions& _actions)
 {
-	for (const PieceStarted& started : _give.started)
+	for (const PieceStarted& started : _update.started)
 	{
-		const auto found = this->away.find(started.order);
-		if (found != this->away.end() && found->second.peer == _from)
+		const auto found = this->remoteOrders.find(started.orderId);
+		if (found != this->remoteOrders.end() && found->second.peer == _from)
 		{
 			_actions.emplace_back(started);
 		}
 	}
 	PieceFree unwanted;
-	for (const PieceMade& made : _give.made)
+	for (const PieceCompleted& completed : _update.completed)
 	{
-		const auto found = this->away.find(made.order);
-		if (found == this->away.end() || found->second.peer != _from)
+		const auto found = this->remoteOrders.find(completed.orderId);
+		if (found == this->remoteOrders.end() || found->second.peer != _from)
 		{
-			unwanted.handles.push_back(made.handle);
+			unwanted.handles.push_back(completed.handle);
 			continue;
 		}
-		this->makerOf[made.handle] = _from;
-		this->away.erase(found);
-		_actions.emplace_back(made);
+		this->nodeOfHandle[completed.handle] = _from;
+		this->remoteOrders.erase(found);
+		_actions.emplace_back(completed);
 	}
 	if (!unwanted.handles.empty())
 	{
 		this->send(_from, std::move(unwanted), _actions);
 	}
-	for (const auto& entry : _give.waits)
+	for (const auto& entry : _update.waits)
 	{
-		this->told[entry.first] = {entry.second, _now};
+		this->peerWaits[entry.first] = {entry.second, _now};
 	}
-	for (const PieceFailed& failed : _give.failed)
+	for (const PieceFailed& failed : _update.failed)
 	{
-		const auto found = this->away.find(failed.order);
-		if (found != this->away.end() && found->second.peer == _from)
+		const auto found = this->remoteOrders.find(failed.orderId);
+		if (found != this->remoteOrders.end() && found->second.peer == _from)
 		{
-			this->away.erase(found);
+			this->remoteOrders.erase(found);
 			_actions.emplace_back(failed);
 		}
 	}
@@ -283,67 +284,67 @@
 PieceActions PieceScheduler::receive(const std::string& _from, const PieceMessage& _message, Micros _now)
 {
 	PieceActions actions;
-	const auto heard = this->heardAt.find(_from);
-	if (heard != this->heardAt.end())
+	const auto heard = this->lastHeardAt.find(_from);
+	if (heard != this->lastHeardAt.end())
 	{
 		heard->second = _now;
 	}
 	std::visit(
 		Overloaded{
-			[&](const PieceAsk& _ask) { this->onAsk(_from, _ask, _now, actions); },
-			[&](const PieceGive& _give) { this->onGive(_from, _give, _now, actions); },
-			[&](const PieceDrop& _drop) { this->onDrop(_from, _drop); },
-			[&](const PieceFree& _free) { this->freeHere(_free.handles, actions); },
+			[&](const PieceSubmit& _submit) { this->onSubmit(_from, _submit, _now, actions); },
+			[&](const PieceUpdate& _update) { this->onUpdate(_from, _update, _now, actions); },
+			[&](const PieceCancel& _cancel) { this->onCancel(_from, _cancel); },
+			[&](const PieceFree& _free) { this->freeLocally(_free.handles, actions); },
 		},
 		_message);
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	return actions;
 }
 
-void PieceScheduler::takeBack(const std::string& _peer, Micros _now, PieceActions& _actions)
+void PieceScheduler::reassignFrom(const std::string& _peer, Micros _now, PieceActions& _actions)
 {
-	this->silentUntil[_peer] = _now + this->config.silentFor;
-	this->heardAt.erase(_peer);
-	std::map<std::string, std::vector<PieceOrder>> again;
-	for (auto entry = this->away.begin(); entry != this->away.end();)
+	this->excludedUntil[_peer] = _now + this->config.exclusionTime;
+	this->lastHeardAt.erase(_peer);
+	std::map<std::string, std::vector<PieceOrder>> orders;
+	for (auto entry = this->remoteOrders.begin(); entry != this->remoteOrders.end();)
 	{
 		if (entry->second.peer != _peer)
 		{
 			++entry;
 			continue;
 		}
-		again[entry->second.pool].push_back(entry->second.order);
-		entry = this->away.erase(entry);
+		orders[entry->second.pool].push_back(entry->second.order);
+		entry = this->remoteOrders.erase(entry);
 	}
-	for (const auto& entry : again)
+	for (const auto& entry : orders)
 	{
-		this->place(PieceAsk{entry.first, entry.second, std::nullopt}, _now, _actions);
+		this->assign(PieceSubmit{entry.first, entry.second, std::nullopt}, _now, _actions);
 	}
 }
 
 PieceActions PieceScheduler::peerClosed(const std::string& _peer, Micros _now)
 {
 	PieceActions actions;
-	const bool busy = std::any_of(this->away.begin(), this->away.end(),
-								  [&](const auto& _entry) { return _entry.second.peer == _peer; });
-	if (busy)
+	const bool hasOrders = std::any_of(this->remoteOrders.begin(), this->remoteOrders.end(),
+									   [&](const auto& _entry) { return _entry.second.peer == _peer; });
+	if (hasOrders)
 	{
-		this->takeBack(_peer, _now, actions);
+		this->reassignFrom(_peer, _now, actions);
 	}
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	return actions;
 }
 
-void PieceScheduler::takeBatchActions(const BatchActions& _batch, Micros _now, PieceActions& _actions)
+void PieceScheduler::handleBatchActions(const BatchActions& _batch, Micros _now, PieceActions& _actions)
 {
-	std::map<std::string, PieceGive> gives;
-	const auto settle = [this](std::uint64_t _number)
-	{
-		const auto found = this->inHand.find(_number);
-		InHand hand = found->second;
-		this->numberOf.erase({hand.peer, hand.order});
-		this->inHand.erase(found);
-		return hand;
+	std::map<std::string, PieceUpdate> updates;
+	const auto finish = [this](std::uint64_t _localId)
+	{
+		const auto found = this->localOrders.find(_localId);
+		LocalOrder local = found->second;
+		this->localIds.erase({local.peer, local.orderId});
+		this->localOrders.erase(found);
+		return local;
 	};
 	for (const BatchAction& action : _batch)
 	{
@@ -353,53 +354,53 @@
 				[&](const CancelBatch& _cancel) { _actions.emplace_back(_cancel); },
 				[&](const PieceStarted& _started)
 				{
-					const InHand& hand = this->inHand.at(_started.order);
-					if (hand.wanted && hand.peer.empty())
+					const LocalOrder& local = this->localOrders.at(_started.orderId);
+					if (local.wanted && local.peer.empty())
 					{
-						_actions.emplace_back(PieceStarted{hand.order});
+						_actions.emplace_back(PieceStarted{local.orderId});
 					}
-					else if (hand.wanted)
+					else if (local.wanted)
 					{
-						gives[hand.peer].started.push_back(PieceStarted{hand.order});
+						updates[local.peer].started.push_back(PieceStarted{local.orderId});
 					}
 				},
-				[&](PieceMade _made)
+				[&](PieceCompleted _completed)
 				{
-					const InHand hand = settle(_made.order);
-					_made.order = hand.order;
-					if (!hand.wanted)
+					const LocalOrder local = finish(_completed.orderId);
+					_completed.orderId = local.orderId;
+					if (!local.wanted)
 					{
-						_actions.emplace_back(FreeResult{_made.handle});
+						_actions.emplace_back(FreeResult{_completed.handle});
 					}
-					else if (hand.peer.empty())
+					else if (local.peer.empty())
 					{
-						_actions.emplace_back(std::move(_made));
+						_actions.emplace_back(std::move(_completed));
 					}
 					else
 					{
-						gives[hand.peer].made.push_back(std::move(_made));
+						updates[local.peer].completed.push_back(std::move(_completed));
 					}
 				},
 				[&](PieceFailed _failed)
 				{
-					const InHand hand = settle(_failed.order);
-					_failed.order = hand.order;
-					if (hand.wanted && hand.peer.empty())
+					const LocalOrder local = finish(_failed.orderId);
+					_failed.orderId = local.orderId;
+					if (local.wanted && local.peer.empty())
 					{
 						_actions.emplace_back(_failed);
 					}
-					else if (hand.wanted)
+					else if (local.wanted)
 					{
-						gives[hand.peer].failed.push_back(_failed);
+						updates[local.peer].failed.push_back(_failed);
 					}
 				},
 			},
 			action);
 	}
-	for (auto& entry : gives)
+	for (auto& entry : updates)
 	{
-		this->toldAt[entry.first] = _now;
-		entry.second.waits = this->ownWaits(_now);
+		this->lastUpdateAt[entry.first] = _now;
+		entry.second.waits = this->localWaits(_now);
 		this->send(entry.first, std::move(entry.second), _actions);
 	}
 }
@@ -407,54 +408,54 @@
 PieceActions PieceScheduler::batchEnded(std::uint64_t _batch, const BatchEnd& _end, Micros _now)
 {
 	PieceActions actions;
-	this->takeBatchActions(this->maker.batchEnded(_batch, _end, _now), _now, actions);
+	this->handleBatchActions(this->batcher.batchEnded(_batch, _end, _now), _now, actions);
 	return actions;
 }
 
-void PieceScheduler::checkSilence(Micros _now, PieceActions& _actions)
+void PieceScheduler::detectSilentPeers(Micros _now, PieceActions& _actions)
 {
 	std::set<std::string> holders;
-	for (const auto& entry : this->away)
+	for (const auto& entry : this->remoteOrders)
 	{
 		holders.insert(entry.second.peer);
 	}
-	std::erase_if(this->heardAt, [&](const auto& _entry) { return holders.count(_entry.first) == 0; });
+	std::erase_if(this->lastHeardAt, [&](const auto& _entry) { return holders.count(_entry.first) == 0; });
 	std::vector<std::string> silent;
-	for (const auto& entry : this->heardAt)
+	for (const auto& entry : this->lastHeardAt)
 	{
-		if (_now - entry.second > this->config.silentAfter)
+		if (_now - entry.second > this->config.silenceTimeout)
 		{
 			silent.push_back(entry.first);
 		}
 	}
 	for (const std::string& peer : silent)
 	{
-		this->takeBack(peer, _now, _actions);
+		this->reassignFrom(peer, _now, _actions);
 	}
 }
 
 /// Predicted waits at the pools whose batches this node forms.
-std::map<std::string, Micros> PieceScheduler::ownWaits(Micros _now) const
+std::map<std::string, Micros> PieceScheduler::localWaits(Micros _now) const
 {
-	std::map<std::string, Micros> waits = this->maker.waitTimes(_now);
+	std::map<std::string, Micros> waits = this->batcher.waitTimes(_now);
 	std::erase_if(waits, [&](const auto& _entry) { return this->nodeOf(_entry.first, _now) != this->self; });
 	return waits;
 }
 
 void PieceScheduler::sendKeepalives(Micros _now, PieceActions& _actions)
 {
-	std::set<std::string> askers;
-	for (const auto& entry : this->numberOf)
+	std::set<std::string> peers;
+	for (const auto& entry : this->localIds)
 	{
-		askers.insert(entry.first.first);
+		peers.insert(entry.first.first);
 	}
-	std::erase_if(this->toldAt, [&](const auto& _entry) { return askers.count(_entry.first) == 0; });
-	for (auto& entry : this->toldAt)
+	std::erase_if(this->lastUpdateAt, [&](const auto& _entry) { return peers.count(_entry.first) == 0; });
+	for (auto& entry : this->lastUpdateAt)
 	{
-		if (_now - entry.second >= this->config.keepaliveEvery)
+		if (_now - entry.second >= this->config.keepalivePeriod)
 		{
 			entry.second = _now;
-			this->send(entry.first, PieceGive{{}, {}, {}, this->ownWaits(_now)}, _actions);
+			this->send(entry.first, PieceUpdate{{}, {}, {}, this->localWaits(_now)}, _actions);
 		}
 	}
 }
@@ -462,8 +463,8 @@
 PieceActions PieceScheduler::tick(Micros _now)
 {
 	PieceActions actions;
-	this->checkSilence(_now, actions);
-	this->takeBatchActions(this->maker.tick(_now), _now, actions);
+	this->detectSilentPeers(_now, actions);
+	this->handleBatchActions(this->batcher.tick(_now), _now, actions);
 	this->sendKeepalives(_now, actions);
 	return actions;
 }
@@ -471,15 +472,16 @@
 /// Time until a piece would be in a call, as far as this node knows.
 Micros PieceScheduler::waitTime(const std::string& _pool, Micros _now) const
 {
-	const auto told = this->told.find(_pool);
-	const bool elsewhere = this->nodeOf(_pool, _now) != this->self;
-	if (!elsewhere)
+	const auto reported = this->peerWaits.find(_pool);
+	const bool remote = this->nodeOf(_pool, _now) != this->self;
+	if (!remote)
 	{
-		return this->maker.waitTime(_pool, _now).value_or(0);
+		return this->batcher.waitTime(_pool, _now).value_or(0);
 	}
 	// Without news from the node that forms the batches nobody is turned away.
-	const bool fresh = told != this->told.end() && _now - told->second.second < this->config.toldLife;
-	return fresh ? told->second.first : 0;
+	const bool fresh =
+		reported != this->peerWaits.end() && _now - reported->second.second < this->config.peerWaitsMaxAge;
+	return fresh ? reported->second.first : 0;
 }
 
 } // namespace roadferry
--- a/src/stage_graph.cpp
+++ b/src/stage_graph.cpp
@@ -14,41 +14,42 @@
 namespace roadferry
 {
 
-StageGraph::StageGraph(std::vector<RouteStage> _stages, std::vector<std::int64_t> _counts)
+StageGraph::StageGraph(std::vector<RouteStage> _stages, std::vector<std::int64_t> _pieceCounts)
 	: plan(std::move(_stages)), pieces(plan.size())
 {
-	for (std::size_t stage = 0; stage < this->pieces.size() && stage < _counts.size(); ++stage)
+	for (std::size_t stage = 0; stage < this->pieces.size() && stage < _pieceCounts.size(); ++stage)
 	{
-		this->pieces[stage].resize(static_cast<std::size_t>(std::max<std::int64_t>(0, _counts[stage])));
+		this->pieces[stage].resize(static_cast<std::size_t>(std::max<std::int64_t>(0, _pieceCounts[stage])));
 	}
 }
 
-bool StageGraph::stageMade(std::size_t _stage) const
+bool StageGraph::isStageCompleted(std::size_t _stage) const
 {
 	return std::all_of(this->pieces[_stage].begin(), this->pieces[_stage].end(),
 					   [](const Piece& _piece) { return !_piece.handle.empty(); });
 }
 
-bool StageGraph::hasFollower(std::size_t _stage) const
+bool StageGraph::hasDependents(std::size_t _stage) const
 {
 	return std::any_of(this->plan.begin(), this->plan.end(),
 					   [_stage](const RouteStage& _other)
 					   { return std::find(_other.after.begin(), _other.after.end(), _stage) != _other.after.end(); });
 }
 
-bool StageGraph::stageStarted(std::size_t _stage) const
+bool StageGraph::isStageStarted(std::size_t _stage) const
 {
 	return std::all_of(this->pieces[_stage].begin(), this->pieces[_stage].end(),
 					   [](const Piece& _piece) { return _piece.started || !_piece.handle.empty(); });
 }
 
-std::vector<PieceName> StageGraph::takeReady()
+std::vector<PieceIndex> StageGraph::takeReady()
 {
-	std::vector<PieceName> ready;
+	std::vector<PieceIndex> ready;
 	for (std::size_t stage = 0; stage < this->pieces.size(); ++stage)
 	{
 		const std::vector<std::size_t>& after = this->plan[stage].after;
-		if (!std::all_of(after.begin(), after.end(), [this](std::size_t _before) { return this->stageMade(_before); }))
+		if (!std::all_of(after.begin(), after.end(),
+						 [this](std::size_t _dependency) { return this->isStageCompleted(_dependency); }))
 		{
 			continue;
 		}
@@ -58,29 +59,29 @@
 			if (state.handle.empty() && !state.handedOut)
 			{
 				state.handedOut = true;
-				ready.push_back(PieceName{stage, piece});
+				ready.push_back(PieceIndex{stage, piece});
 			}
 		}
 	}
 	return ready;
 }
 
-void StageGraph::made(const PieceName& _piece, const std::string& _handle)
+void StageGraph::markCompleted(const PieceIndex& _piece, const std::string& _handle)
 {
 	this->pieces.at(_piece.stage).at(_piece.piece).handle = _handle;
 }
 
-void StageGraph::started(const PieceName& _piece)
+void StageGraph::markStarted(const PieceIndex& _piece)
 {
 	this->pieces.at(_piece.stage).at(_piece.piece).started = true;
 }
 
-void StageGraph::failed(const PieceName& _piece)
+void StageGraph::markFailed(const PieceIndex& _piece)
 {
 	this->pieces.at(_piece.stage).at(_piece.piece) = Piece{};
 }
 
-void StageGraph::lost(const std::string& _handle)
+void StageGraph::markLost(const std::string& _handle)
 {
 	for (auto& stage : this->pieces)
 	{
@@ -107,19 +108,19 @@
 std::vector<std::string> StageGraph::inputsOf(std::size_t _stage) const
 {
 	std::vector<std::string> inputs;
-	for (const std::size_t before : this->plan.at(_stage).after)
+	for (const std::size_t dependency : this->plan.at(_stage).after)
 	{
-		const std::vector<std::string> handles = this->handlesOf(before);
+		const std::vector<std::string> handles = this->handlesOf(dependency);
 		inputs.insert(inputs.end(), handles.begin(), handles.end());
 	}
 	return inputs;
 }
 
-bool StageGraph::complete() const
+bool StageGraph::isComplete() const
 {
 	for (std::size_t stage = 0; stage < this->plan.size(); ++stage)
 	{
-		if (!this->hasFollower(stage) && !this->stageMade(stage))
+		if (!this->hasDependents(stage) && !this->isStageCompleted(stage))
 		{
 			return false;
 		}
@@ -132,7 +133,7 @@
 	std::vector<std::string> handles;
 	for (std::size_t stage = 0; stage < this->plan.size(); ++stage)
 	{
-		if (this->hasFollower(stage))
+		if (this->hasDependents(stage))
 		{
 			continue;
 		}
@@ -144,12 +145,12 @@
 	return handles;
 }
 
-std::vector<std::string> StageGraph::takeSpent()
+std::vector<std::string> StageGraph::takeUnneeded()
 {
 	std::vector<std::string> handles;
 	for (std::size_t stage = 0; stage < this->plan.size(); ++stage)
 	{
-		if (!this->hasFollower(stage))
+		if (!this->hasDependents(stage))
 		{
 			continue;
 		}
@@ -158,11 +159,11 @@
 		{
 			const std::vector<std::size_t>& after = this->plan[other].after;
 			const bool follows = std::find(after.begin(), after.end(), stage) != after.end();
-			needed = needed || (follows && !this->stageStarted(other));
+			needed = needed || (follows && !this->isStageStarted(other));
 		}
 		for (const Piece& piece : this->pieces[stage])
 		{
-			if (!needed && !piece.handle.empty() && this->spent.insert(piece.handle).second)
+			if (!needed && !piece.handle.empty() && this->taken.insert(piece.handle).second)
 			{
 				handles.push_back(piece.handle);
 			}
@@ -171,14 +172,14 @@
 	return handles;
 }
 
-std::vector<std::string> StageGraph::takeAll()
+std::vector<std::string> StageGraph::takeRemaining()
 {
 	std::vector<std::string> handles;
 	for (const auto& stage : this->pieces)
 	{
 		for (const Piece& piece : stage)
 		{
-			if (!piece.handle.empty() && this->spent.insert(piece.handle).second)
+			if (!piece.handle.empty() && this->taken.insert(piece.handle).second)
 			{
 				handles.push_back(piece.handle);
 			}
--- a/src/stage_times.cpp
+++ b/src/stage_times.cpp
@@ -17,7 +17,7 @@
 {
 
 /// Part of a call that is filled in a pool that is busy but not crowded.
-constexpr double kUsualFill = 0.5;
+constexpr double kTypicalFill = 0.5;
 
 } // namespace
 
@@ -33,7 +33,7 @@
 	{
 		return 0;
 	}
-	const double filled = kUsualFill * static_cast<double>(pool->batches->batch);
+	const double filled = kTypicalFill * static_cast<double>(pool->batches->batch);
 	return pool->batches->callTime + static_cast<Micros>(filled * static_cast<double>(pool->batches->pieceTime));
 }
 
@@ -51,7 +51,7 @@
 	return longest;
 }
 
-Micros StagedRoute::timeOfAll() const
+Micros StagedRoute::totalTime() const
 {
 	Micros longest = 0;
 	for (std::size_t stage = 0; stage < this->route.stages.size(); ++stage)
--- a/src/stage_times.h
+++ b/src/stage_times.h
@@ -27,7 +27,7 @@
 	[[nodiscard]] Micros timeAfter(std::size_t _stage) const;
 
 	/// @returns Predicted time of all stages, without waiting for calls.
-	[[nodiscard]] Micros timeOfAll() const;
+	[[nodiscard]] Micros totalTime() const;
 
 	/// @returns What the request asks of each pool.
 	[[nodiscard]] std::vector<PoolDemand> demand() const;
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -53,7 +53,7 @@
 PieceOrder order(std::uint64_t _number, Micros _now)
 {
 	PieceOrder result;
-	result.order = _number;
+	result.orderId = _number;
 	result.request = "r-" + std::to_string(_number);
 	result.deadline = _now + 15 * kSecond;
 	result.due = _now + 2 * kSecond;
@@ -154,20 +154,20 @@
 		node.setEndpoints({endpoint("first", 1), endpoint("second", 2)});
 		node.setMembers(members, 0);
 	}
-	const PieceActions asked = nodes.at(other).order("first", {order(7, kSecond)}, terms(-1), kSecond);
+	const PieceActions asked = nodes.at(other).submit("first", {order(7, kSecond)}, terms(-1), kSecond);
 	cr_assert_eq(asked.size(), 1);
 	const auto ask = std::get<SendPieceMessage>(asked.front());
 	cr_assert(ask.to == deciding);
 	const PieceActions decided = nodes.at(deciding).receive(other, ask.message, kSecond);
 	cr_assert_eq(decided.size(), 2); // The reason, for the log, and the refusal.
-	cr_assert(std::get<RequestCrowded>(decided.front()).request == "r-7");
+	cr_assert(std::get<RequestNotAdmitted>(decided.front()).request == "r-7");
 	const auto refusal = std::get<SendPieceMessage>(decided.back());
 	cr_assert(faultsOf(nodes.at(other).receive(deciding, refusal.message, kSecond)) ==
-			  std::vector<PieceFault>{PieceFault::Crowded});
-	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
-			  std::vector<PieceFault>{PieceFault::Crowded});
+			  std::vector<PieceFault>{PieceFault::NotAdmitted});
+	cr_assert(faultsOf(nodes.at(deciding).submit("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
+			  std::vector<PieceFault>{PieceFault::NotAdmitted});
 	// Later pieces of a request that was let in come without terms, and are made.
-	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
+	cr_assert(faultsOf(nodes.at(deciding).submit("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
 }
 
 Test(admission, results_of_a_node_that_has_left_are_freed_by_those_who_hold_them)
@@ -178,8 +178,9 @@
 	PieceScheduler node(holder, PieceSchedulerConfig{});
 	node.setPools({pool("first")});
 	node.setMembers(members, 0);
-	node.order("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
-	node.receive(maker, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}}, kSecond);
+	node.submit("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
+	node.receive(maker, PieceUpdate{{}, {PieceCompleted{1, "h-1", "north"}, PieceCompleted{2, "h-2", "north"}}, {}, {}},
+				 kSecond);
 	const PieceActions told = node.free({"h-1"}, kSecond);
 	cr_assert(std::get<SendPieceMessage>(told.front()).to == maker);
 	node.setMembers({holder}, kSecond);
@@ -198,10 +199,10 @@
 	const std::vector<std::int64_t> all = {2, 1, 4};
 	const std::vector<std::int64_t> some = {2, 0, 0};
 	const StagedRoute whole{plan, route, all};
-	cr_assert_eq(whole.timeOfAll(), 2 * one);
+	cr_assert_eq(whole.totalTime(), 2 * one);
 	cr_assert_eq(whole.timeAfter(1), one);
 	cr_assert(whole.demand() == (std::vector<PoolDemand>{{"first", 3}, {"second", 4}}));
 	const StagedRoute part{plan, route, some};
-	cr_assert_eq(part.timeOfAll(), one);
+	cr_assert_eq(part.totalTime(), one);
 	cr_assert(part.demand() == (std::vector<PoolDemand>{{"first", 2}}));
 }
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -41,10 +41,10 @@
 			RoutesGive{std::string("\0{", 2),
 					   {ListedEndpoint{"e", 5, Endpoint{"e-1", "10.0.0.3:80", "pool", "north", 6, true}, 1'800}},
 					   {"e-1", "e-2"}},
-			PieceAsk{"pool",
-					 {PieceOrder{5, "abc", {1, 2}, "key", {"10.0.0.3:80/1"}, 900'000, 400'000, 1, 60'000, "north"}},
-					 AdmissionTerms{300'000, true, {PoolDemand{"pool", 3}, PoolDemand{"other", 8}}}},
-			PieceAsk{"pool", {}, std::nullopt},
+			PieceSubmit{"pool",
+						{PieceOrder{5, "abc", {1, 2}, "key", {"10.0.0.3:80/1"}, 900'000, 400'000, 1, 60'000, "north"}},
+						AdmissionTerms{300'000, true, {PoolDemand{"pool", 3}, PoolDemand{"other", 8}}}},
+			PieceSubmit{"pool", {}, std::nullopt},
 			FeedAsk{7, 8, 9, 10},
 			FeedNews{std::string("\0{", 2), 8,
 					 DirectoryChanges{
@@ -55,11 +55,11 @@
 						 {"e-2"}},
 					 400'000, 7, 11},
 			FeedNews{},
-			PieceGive{{PieceStarted{4}},
-					  {PieceMade{5, "10.0.0.3:80/2", "north"}},
-					  {PieceFailed{6, PieceFault::NoRoom}},
-					  {{"pool", 400'000}}},
-			PieceDrop{{5, 6}}};
+			PieceUpdate{{PieceStarted{4}},
+						{PieceCompleted{5, "10.0.0.3:80/2", "north"}},
+						{PieceFailed{6, PieceFault::NoSpace}},
+						{{"pool", 400'000}}},
+			PieceCancel{{5, 6}}};
 }
 
 } // namespace
--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -17,14 +17,14 @@
 
 using namespace roadferry;
 
-constexpr std::int64_t kRoom = 10'000;
-constexpr std::int64_t kBatch = 5;
+constexpr std::int64_t kResultCapacityBytes = 10'000;
+constexpr std::int64_t kBatchSize = 5;
 
 PoolSpec pool()
 {
 	PoolSpec spec;
 	spec.name = "pool";
-	spec.batches = BatchLimits{1, kBatch, 240 * kMillisecond, 20 * kMillisecond, 4 * kSecond, kRoom};
+	spec.batches = BatchLimits{1, kBatchSize, 240 * kMillisecond, 20 * kMillisecond, 4 * kSecond, kResultCapacityBytes};
 	return spec;
 }
 
@@ -38,7 +38,7 @@
 PieceOrder order(std::uint64_t _number, Micros _now, std::int64_t _bytes = 100)
 {
 	PieceOrder result;
-	result.order = _number;
+	result.orderId = _number;
 	result.request = "r-" + std::to_string(_number);
 	result.deadline = _now + 15 * kSecond;
 	result.due = _now + 2 * kSecond;
@@ -47,10 +47,10 @@
 }
 
 /// Endpoints that make what they are sent, and check what they are sent.
-class EndpointWorld
+class SimulatedEndpoints
 {
 public:
-	void take(const BatchActions& _actions, Micros _now)
+	void apply(const BatchActions& _actions, Micros _now)
 	{
 		for (const BatchAction& action : _actions)
 		{
@@ -58,25 +58,25 @@
 				Overloaded{
 					[&](const StartBatch& _start)
 					{
-						this->busy[_start.endpoint.id] += 1;
-						RC_ASSERT(this->busy[_start.endpoint.id] <= 1);
-						RC_ASSERT(_start.orders.size() <= static_cast<std::size_t>(kBatch));
-						RC_ASSERT(this->left.count(_start.endpoint.id) == 0);
+						this->activeCalls[_start.endpoint.id] += 1;
+						RC_ASSERT(this->activeCalls[_start.endpoint.id] <= 1);
+						RC_ASSERT(_start.orders.size() <= static_cast<std::size_t>(kBatchSize));
+						RC_ASSERT(this->leaving.count(_start.endpoint.id) == 0);
 						this->running.emplace(_start.batch, _start);
 						this->endsAt.emplace(_start.batch, _now + 300 * kMillisecond);
 					},
 					[&](const CancelBatch& _cancel) { this->stop(_cancel.batch); },
 					[](const PieceStarted&) {},
-					[&](const PieceMade& _made) { this->settle(_made.order); },
-					[&](const PieceFailed& _failed) { this->settle(_failed.order); },
+					[&](const PieceCompleted& _completed) { this->finishOrder(_completed.orderId); },
+					[&](const PieceFailed& _failed) { this->finishOrder(_failed.orderId); },
 				},
 				action);
 		}
 	}
 
-	void settle(std::uint64_t _order)
+	void finishOrder(std::uint64_t _order)
 	{
-		RC_ASSERT(this->open.erase(_order) == 1); // Each order ends once.
+		RC_ASSERT(this->openOrders.erase(_order) == 1); // Each order ends once.
 	}
 
 	StartBatch stop(std::uint64_t _batch)
@@ -84,7 +84,7 @@
 		const StartBatch start = this->running.at(_batch);
 		this->running.erase(_batch);
 		this->endsAt.erase(_batch);
-		this->busy[start.endpoint.id] -= 1;
+		this->activeCalls[start.endpoint.id] -= 1;
 		return start;
 	}
 
@@ -93,21 +93,21 @@
 		BatchAnswered answered;
 		for (const PieceOrder& piece : _start.orders)
 		{
-			answered.results.emplace_back(_start.endpoint.address + "/" + std::to_string(piece.order));
+			answered.results.emplace_back(_start.endpoint.address + "/" + std::to_string(piece.orderId));
 		}
 		return answered;
 	}
 
-	std::map<std::string, int> busy;
+	std::map<std::string, int> activeCalls;
 	std::map<std::uint64_t, StartBatch> running;
 	std::map<std::uint64_t, Micros> endsAt;
-	std::set<std::string> left;
-	std::set<std::uint64_t> open;
+	std::set<std::string> leaving;
+	std::set<std::uint64_t> openOrders;
 };
 
 } // namespace
 
-Test(stages, pieces_wait_for_all_pieces_before_them)
+Test(stages, pieces_become_ready_when_all_their_input_stages_are_complete)
 {
 	const std::vector<RouteStage> stages = {{"a", {}, 10}, {"b", {}, 10}, {"c", {0, 1}, 10}, {"d", {2}, 10}};
 	checkHistories("stages",
@@ -119,14 +119,14 @@
 						   counts.push_back(*rc::gen::inRange<std::int64_t>(1, 4));
 					   }
 					   StageGraph graph(stages, counts);
-					   std::vector<PieceName> ready = graph.takeReady();
+					   std::vector<PieceIndex> ready = graph.takeReady();
 					   std::vector<std::size_t> made(stages.size(), 0);
 					   std::set<std::string> handles;
 					   std::set<std::string> spent;
 					   while (!ready.empty())
 					   {
 						   const std::size_t at = *rc::gen::inRange<std::size_t>(0, ready.size());
-						   const PieceName piece = ready[at];
+						   const PieceIndex piece = ready[at];
 						   ready.erase(ready.begin() + static_cast<std::ptrdiff_t>(at));
 						   std::size_t inputs = 0;
 						   for (const std::size_t before : stages[piece.stage].after)
@@ -139,21 +139,21 @@
 						   {
 							   RC_ASSERT(spent.count(input) == 0); // Not given back before it was used.
 						   }
-						   graph.started(piece);
+						   graph.markStarted(piece);
 						   const std::string handle = std::to_string(piece.stage) + "/" + std::to_string(piece.piece);
-						   graph.made(piece, handle);
+						   graph.markCompleted(piece, handle);
 						   made[piece.stage] += 1;
 						   handles.insert(handle);
-						   for (const std::string& free : graph.takeSpent())
+						   for (const std::string& free : graph.takeUnneeded())
 						   {
 							   RC_ASSERT(spent.insert(free).second);
 						   }
 						   const auto more = graph.takeReady();
 						   ready.insert(ready.end(), more.begin(), more.end());
 					   }
-					   RC_ASSERT(graph.complete());
+					   RC_ASSERT(graph.isComplete());
 					   RC_ASSERT(graph.results().size() == static_cast<std::size_t>(counts[3]));
-					   for (const std::string& free : graph.takeAll())
+					   for (const std::string& free : graph.takeRemaining())
 					   {
 						   RC_ASSERT(spent.insert(free).second);
 					   }
@@ -161,63 +161,64 @@
 				   });
 }
 
-Test(stages, stage_that_is_left_out_holds_nothing_up)
+Test(stages, stage_without_pieces_does_not_block_the_request)
 {
 	StageGraph graph({{"a", {}, 10}, {"b", {}, 10}}, {0, 1});
 	cr_assert_eq(graph.takeReady().size(), 1);
-	cr_assert_not(graph.complete());
-	graph.made(PieceName{1, 0}, "h");
-	cr_assert(graph.complete());
+	cr_assert_not(graph.isComplete());
+	graph.markCompleted(PieceIndex{1, 0}, "h");
+	cr_assert(graph.isComplete());
 	cr_assert(StageGraph({{"a", {}, 10}}, {}).complete());
 }
 
-Test(batches, orders_end_once_and_endpoints_get_one_call_at_a_time)
+Test(batches, each_order_ends_once_and_each_endpoint_gets_one_call_at_a_time)
 {
 	checkHistories("batches",
 				   []
 				   {
-					   BatchMaker maker(BatchConfig{});
-					   EndpointWorld world;
-					   maker.setPools({pool()});
+					   Batcher batcher(BatchConfig{});
+					   SimulatedEndpoints world;
+					   batcher.setPools({pool()});
 					   std::vector<Endpoint> endpoints = {endpoint(1), endpoint(2), endpoint(3)};
-					   maker.setEndpoints(endpoints);
+					   batcher.setEndpoints(endpoints);
 					   Micros now = kSecond;
 					   std::uint64_t next = 0;
 					   const int steps = *rc::gen::inRange(1, 80);
 					   for (int step = 0; step < steps; ++step)
 					   {
 						   now += *rc::gen::inRange<Micros>(0, 200 * kMillisecond);
-						   const int what = *rc::gen::inRange(0, 10);
-						   if (what < 5)
+						   const int action = *rc::gen::inRange(0, 10);
+						   if (action < 5)
 						   {
 							   const std::uint64_t number = ++next;
-							   world.open.insert(number);
-							   maker.add("pool", order(number, now, *rc::gen::inRange<std::int64_t>(0, 4'000)), now);
+							   world.openOrders.insert(number);
+							   batcher.add("pool", order(number, now, *rc::gen::inRange<std::int64_t>(0, 4'000)), now);
 						   }
-						   else if (what < 8 && !world.running.empty())
+						   else if (action < 8 && !world.running.empty())
 						   {
 							   const std::uint64_t batch = world.running.begin()->first;
 							   const StartBatch start = world.stop(batch);
-							   const BatchEnd end = what == 5   ? BatchEnd(BatchCut{})
-													: what == 6 ? BatchEnd(BatchRefused{})
-																: world.answer(start);
-							   world.take(maker.batchEnded(batch, end, now), now);
+							   const BatchEnd end = action == 5   ? BatchEnd(BatchFailed{})
+													: action == 6 ? BatchEnd(BatchRefused{})
+																  : world.answer(start);
+							   world.apply(batcher.batchEnded(batch, end, now), now);
 						   }
-						   else if (what == 8 && !world.open.empty() && maker.cancel(*world.open.rbegin()))
+						   else if (action == 8 && !world.openOrders.empty() &&
+									batcher.cancel(*world.openOrders.rbegin()))
 						   {
-							   world.open.erase(*world.open.rbegin());
+							   world.openOrders.erase(*world.openOrders.rbegin());
 						   }
-						   else if (what == 9 && endpoints.size() > 1)
+						   else if (action == 9 && endpoints.size() > 1)
 						   {
 							   endpoints.back().leaving = true;
-							   world.left.insert(endpoints.back().id);
-							   maker.setEndpoints(endpoints);
+							   world.leaving.insert(endpoints.back().id);
+							   batcher.setEndpoints(endpoints);
 							   endpoints.pop_back();
 						   }
-						   world.take(maker.tick(now), now);
+						   world.apply(batcher.tick(now), now);
 					   }
 					   // Endpoints that answer from now on: every order ends.
-					   for (int step = 0; step < 2'000 && !world.open.empty(); ++step)
+					   for (int step = 0; step < 2'000 && !world.openOrders.empty(); ++step)
 					   {
 						   now += 20 * kMillisecond;
 						   const auto done = std::find_if(world.endsAt.begin(), world.endsAt.end(),
@@ -226,78 +227,78 @@
 						   {
 							   const std::uint64_t batch = done->first;
 							   const StartBatch start = world.stop(batch);
-							   world.take(maker.batchEnded(batch, world.answer(start), now), now);
+							   world.apply(batcher.batchEnded(batch, world.answer(start), now), now);
 						   }
-						   world.take(maker.tick(now), now);
+						   world.apply(batcher.tick(now), now);
 					   }
-					   RC_ASSERT(world.open.empty());
+					   RC_ASSERT(world.openOrders.empty());
 				   });
 }
 
-Test(batches, results_do_not_take_more_room_than_there_is)
+Test(batches, batch_is_limited_by_the_free_result_space_of_the_endpoint)
 {
-	BatchMaker maker(BatchConfig{});
-	maker.setPools({pool()});
-	maker.setEndpoints({endpoint(1)});
+	Batcher batcher(BatchConfig{});
+	batcher.setPools({pool()});
+	batcher.setEndpoints({endpoint(1)});
 	for (std::uint64_t number = 1; number <= 5; ++number)
 	{
-		maker.add("pool", order(number, 0, 4'000), 0);
+		batcher.add("pool", order(number, 0, 4'000), 0);
 	}
-	const BatchActions first = maker.tick(0);
+	const BatchActions first = batcher.tick(0);
 	cr_assert_eq(first.size(), 1);
 	cr_assert_eq(std::get<StartBatch>(first[0]).orders.size(), 2);
-	const BatchActions made = maker.batchEnded(1, BatchAnswered{{std::string("h1"), std::string("h2")}}, kSecond);
+	const BatchActions made = batcher.batchEnded(1, BatchAnswered{{std::string("h1"), std::string("h2")}}, kSecond);
 	cr_assert_eq(std::count_if(made.begin(), made.end(),
 							   [](const BatchAction& _action) { return std::holds_alternative<StartBatch>(_action); }),
 				 0);
-	maker.freed("h1");
-	const BatchActions next = maker.tick(kSecond);
+	batcher.freeResult("h1");
+	const BatchActions next = batcher.tick(kSecond);
 	cr_assert_eq(std::get<StartBatch>(next.at(0)).orders.size(), 1);
 }
 
-Test(batches, what_is_late_leaves_most_of_a_call_to_what_is_not)
+Test(batches, late_pieces_take_only_their_share_of_a_batch)
 {
-	BatchMaker maker(BatchConfig{});
-	maker.setPools({pool()});
-	maker.setEndpoints({endpoint(1)});
+	Batcher batcher(BatchConfig{});
+	batcher.setPools({pool()});
+	batcher.setEndpoints({endpoint(1)});
 	for (std::uint64_t number = 1; number <= 10; ++number)
 	{
 		PieceOrder piece = order(number, 0);
 		piece.due = number <= 5 ? 0 : 2 * kSecond;
-		maker.add("pool", piece, 0);
+		batcher.add("pool", piece, 0);
 	}
-	const BatchActions actions = maker.tick(0);
+	const BatchActions actions = batcher.tick(0);
 	const auto& orders = std::get<StartBatch>(actions.at(0)).orders;
-	cr_assert_eq(orders.size(), static_cast<std::size_t>(kBatch));
+	cr_assert_eq(orders.size(), static_cast<std::size_t>(kBatchSize));
 	cr_assert_eq(std::count_if(orders.begin(), orders.end(), [](const PieceOrder& _order) { return _order.due > 0; }),
 				 4, "of five one is late");
 }
 
-Test(batches, inputs_count_as_fetched_only_when_no_other_node_can_be_in_the_way)
+Test(batches, inputs_do_not_count_as_fetched_while_other_nodes_may_use_the_endpoint)
 {
-	BatchMaker maker(BatchConfig{});
-	maker.setPools({pool()});
-	maker.setEndpoints({endpoint(1)});
+	Batcher batcher(BatchConfig{});
+	batcher.setPools({pool()});
+	batcher.setEndpoints({endpoint(1)});
 	PieceOrder piece = order(1, 0);
 	piece.inputs = {"10.0.0.9:80/1"};
-	maker.add("pool", piece, 0);
-	maker.expectOthersUntil(150 * kMillisecond);
-	cr_assert_eq(maker.tick(0).size(), 1);
-	cr_assert(maker.tick(120 * kMillisecond).empty(), "the call may wait behind another node's");
-	const BatchActions told = maker.tick(160 * kMillisecond);
-	cr_assert(std::get<PieceStarted>(told.at(0)) == PieceStarted{1});
-	cr_assert(maker.tick(180 * kMillisecond).empty(), "told once");
+	batcher.add("pool", piece, 0);
+	batcher.expectOtherBatchersUntil(150 * kMillisecond);
+	cr_assert_eq(batcher.tick(0).size(), 1);
+	cr_assert(batcher.tick(120 * kMillisecond).empty(), "the call may wait behind another node's");
+	const BatchActions started = batcher.tick(160 * kMillisecond);
+	cr_assert(std::get<PieceStarted>(started.at(0)) == PieceStarted{1});
+	cr_assert(batcher.tick(180 * kMillisecond).empty(), "told once");
 }
 
-Test(batches, silent_endpoint_is_given_up_and_its_pieces_go_elsewhere)
+Test(batches, pieces_of_a_call_that_times_out_are_retried_on_another_endpoint)
 {
-	BatchMaker maker(BatchConfig{});
-	maker.setPools({pool()});
-	maker.setEndpoints({endpoint(1)});
-	maker.add("pool", order(1, 0), 0);
-	cr_assert_eq(maker.tick(0).size(), 1);
-	maker.setEndpoints({endpoint(1), endpoint(2)});
-	const BatchActions actions = maker.tick(2 * kSecond);
+	Batcher batcher(BatchConfig{});
+	batcher.setPools({pool()});
+	batcher.setEndpoints({endpoint(1)});
+	batcher.add("pool", order(1, 0), 0);
+	cr_assert_eq(batcher.tick(0).size(), 1);
+	batcher.setEndpoints({endpoint(1), endpoint(2)});
+	const BatchActions actions = batcher.tick(2 * kSecond);
 	cr_assert(std::holds_alternative<CancelBatch>(actions.at(0)));
 	cr_assert(std::get<StartBatch>(actions.at(1)).endpoint.id == "e-2");
 }
@@ -306,10 +307,10 @@
 {
 
 /// Nodes that have pieces made together, over links that lose messages, and endpoints that answer after a while.
-class SchedulerWorld
+class SimulatedCluster
 {
 public:
-	explicit SchedulerWorld(std::size_t _nodes)
+	explicit SimulatedCluster(std::size_t _nodes)
 	{
 		for (std::size_t node = 0; node < _nodes; ++node)
 		{
@@ -328,10 +329,10 @@
 		scheduler.setEndpoints({endpoint(1), endpoint(2), endpoint(3)});
 		scheduler.setMembers(this->names, this->now);
 		this->schedulers.insert_or_assign(_name, std::move(scheduler));
-		this->open[_name].clear();
+		this->openOrders[_name].clear();
 	}
 
-	void take(const std::string& _node, const PieceActions& _actions)
+	void apply(const std::string& _node, const PieceActions& _actions)
 	{
 		for (const PieceAction& action : _actions)
 		{
@@ -342,13 +343,14 @@
 					},
 					[](const CancelBatch&) {},
 					[](const PieceStarted&) {},
-					[&](const PieceMade& _made) { RC_ASSERT(this->open[_node].erase(_made.order) == 1); },
-					[&](const PieceFailed& _failed) { RC_ASSERT(this->open[_node].erase(_failed.order) == 1); },
+					[&](const PieceCompleted& _completed)
+					{ RC_ASSERT(this->openOrders[_node].erase(_completed.orderId) == 1); },
+					[&](const PieceFailed& _failed) { RC_ASSERT(this->openOrders[_node].erase(_failed.orderId) == 1); },
 					[&](const SendPieceMessage& _send) {
 						this->messages.push_back({_node, _send.to, _send.message});
 					},
 					[](const FreeResult&) {},
-					[](const RequestCrowded&) { RC_FAIL("no terms were given"); },
+					[](const RequestNotAdmitted&) { RC_FAIL("no terms were given"); },
 				},
 				action);
 		}
@@ -362,8 +364,8 @@
 			const bool lost = *rc::gen::inRange(0, 100) < static_cast<int>(_loss * 100);
 			if (!lost && this->schedulers.count(message.to) > 0)
 			{
-				this->take(message.to,
-						   this->schedulers.at(message.to).receive(message.from, message.content, this->now));
+				this->apply(message.to,
+							this->schedulers.at(message.to).receive(message.from, message.content, this->now));
 			}
 		}
 	}
@@ -390,11 +392,11 @@
 				answer.results.emplace_back(call.start.endpoint.address + "/" + std::to_string(++this->lastHandle) +
 											piece.request);
 			}
-			this->take(call.node, this->schedulers.at(call.node).batchEnded(call.start.batch, answer, this->now));
+			this->apply(call.node, this->schedulers.at(call.node).batchEnded(call.start.batch, answer, this->now));
 		}
 		for (auto& entry : this->schedulers)
 		{
-			this->take(entry.first, entry.second.tick(this->now));
+			this->apply(entry.first, entry.second.tick(this->now));
 		}
 	}
 
@@ -414,7 +416,7 @@
 
 	std::vector<std::string> names;
 	std::map<std::string, PieceScheduler> schedulers;
-	std::map<std::string, std::set<std::uint64_t>> open;
+	std::map<std::string, std::set<std::uint64_t>> openOrders;
 	std::vector<Message> messages;
 	std::vector<Call> calls;
 	Micros now = kSecond;
@@ -424,33 +426,33 @@
 
 } // namespace
 
-Test(schedulers, every_order_ends_once_though_nodes_die_and_messages_are_lost)
+Test(schedulers, each_order_ends_once_despite_node_failures_and_lost_messages)
 {
 	checkHistories("schedulers",
 				   []
 				   {
-					   SchedulerWorld world(4);
+					   SimulatedCluster world(4);
 					   const double loss = *rc::gen::elementOf(std::vector<double>{0.0, 0.2});
 					   const int steps = *rc::gen::inRange(1, 40);
 					   for (int step = 0; step < steps; ++step)
 					   {
 						   const std::string node = *rc::gen::elementOf(world.names);
-						   const int what = *rc::gen::inRange(0, 12);
-						   if (what == 0 && world.schedulers.size() > 1)
+						   const int action = *rc::gen::inRange(0, 12);
+						   if (action == 0 && world.schedulers.size() > 1)
 						   {
 							   world.schedulers.erase(node); // Killed: says nothing any more.
-							   world.open[node].clear();
+							   world.openOrders[node].clear();
 						   }
-						   else if (what == 1 && world.schedulers.count(node) == 0)
+						   else if (action == 1 && world.schedulers.count(node) == 0)
 						   {
 							   world.start(node);
 						   }
-						   else if (what < 8 && world.schedulers.count(node) > 0)
+						   else if (action < 8 && world.schedulers.count(node) > 0)
 						   {
 							   const std::uint64_t number = ++world.lastOrder;
-							   world.open[node].insert(number);
-							   world.take(node, world.schedulers.at(node).order("pool", {order(number, world.now)},
-																				std::nullopt, world.now));
+							   world.openOrders[node].insert(number);
+							   world.apply(node, world.schedulers.at(node).submit("pool", {order(number, world.now)},
+																				  std::nullopt, world.now));
 						   }
 						   world.step(loss);
 					   }
@@ -458,14 +460,14 @@
 					   {
 						   world.step(0.0);
 					   }
-					   for (const auto& entry : world.open)
+					   for (const auto& entry : world.openOrders)
 					   {
 						   RC_ASSERT(entry.second.empty());
 					   }
 				   });
 }
 
-Test(schedulers, nodes_that_see_the_same_members_choose_the_same_node)
+Test(schedulers, nodes_with_the_same_members_choose_the_same_batching_node)
 {
 	const std::vector<std::string> members = {"10.0.1.1:1", "10.0.1.2:1", "10.0.1.3:1"};
 	std::vector<std::string> reversed(members.rbegin(), members.rend());
