--- a/include/roadferry/parts/batches.h
+++ b/include/roadferry/parts/batches.h
@@ -4,7 +4,10 @@
  */
 
 /// @file
-/// Part of the public header: stages whose pieces are made in batches.
+/// Part of the public header: stages whose pieces are computed in batches.
+///
+/// A piece is one unit of work of a stage of a request. An endpoint computes it in a batch with other pieces and keeps
+/// the result, which is referred to by its handle.
 
 #ifndef ROADFERRY_PARTS_BATCHES_H_HEADER_GUARD
 #define ROADFERRY_PARTS_BATCHES_H_HEADER_GUARD
@@ -27,7 +30,7 @@
 namespace roadferry
 {
 
-/// Names one piece of a request's stage.
+/// Identifies one piece of a request by its stage and its position in the stage.
 struct PieceIndex
 {
 	std::size_t stage = 0;
@@ -35,46 +38,47 @@
 	auto operator<=>(const PieceIndex&) const = default;
 };
 
-/// The pieces of one request: which can be made now, and which results the request itself needs.
+/// Dependency graph of the pieces of one request: which of them are ready, and which results the request itself needs.
 class StageGraph
 {
 public:
 	/// @param[in] _stages Stages of the route.
-	/// @param[in] _counts Pieces of each stage; a stage without an entry, or with 0, is left out.
+	/// @param[in] _pieceCounts Number of pieces of each stage; a stage without an entry, or with 0, is skipped.
 	StageGraph(std::vector<RouteStage> _stages, std::vector<std::int64_t> _pieceCounts);
 
-	/// @returns Pieces that can be made and were not handed out yet; each is handed out once, until it is lost.
+	/// @returns Pieces whose inputs are complete and that were not returned before. A piece that failed or whose result
+	/// was lost is returned again.
 	std::vector<PieceIndex> takeReady();
 
-	/// A piece was made.
-	/// @param[in] _handle Name of its result, by which others refer to it.
+	/// Records the result of a piece.
+	/// @param[in] _handle Handle by which later stages refer to the result.
 	void markCompleted(const PieceIndex& _piece, const std::string& _handle);
 
-	/// The endpoint has fetched what a piece works on, and is making it.
+	/// Records that the endpoint has fetched the inputs of a piece and is computing it.
 	void markStarted(const PieceIndex& _piece);
 
-	/// A piece has to be made again: making it failed.
+	/// Records that a piece failed and has to be computed again.
 	void markFailed(const PieceIndex& _piece);
 
-	/// A result is gone. Its piece has to be made again, if anything still needs it.
+	/// Records that a result was lost. Its piece has to be computed again.
 	void markLost(const std::string& _handle);
 
-	/// Results that a piece of a stage works on.
+	/// @returns Handles of the inputs of each piece of a stage.
 	[[nodiscard]] std::vector<std::string> inputsOf(std::size_t _stage) const;
 
-	/// @returns Results of a stage.
+	/// @returns Handles of the results of a stage, empty for pieces without a result.
 	[[nodiscard]] std::vector<std::string> handlesOf(std::size_t _stage) const;
 
-	/// @returns Whether all results that the request itself needs are there.
+	/// @returns Whether all results that the request itself needs are available.
 	[[nodiscard]] bool isComplete() const;
 
-	/// @returns Results that the request itself needs: those of stages on which no other works.
+	/// @returns Handles of the results that the request itself needs: those of stages without dependents.
 	[[nodiscard]] std::vector<std::string> results() const;
 
-	/// @returns Results that nothing needs any more and that were not returned before, for their makers to drop.
+	/// @returns Handles of results that are no longer needed and were not returned before, for their endpoints to drop.
 	std::vector<std::string> takeUnneeded();
 
-	/// @returns All results that were not returned by takeUnneeded(), at the end of the request.
+	/// @returns Handles of all results that were not returned by takeUnneeded(), to be freed at the end of the request.
 	std::vector<std::string> takeRemaining();
 
 	[[nodiscard]] const std::vector<RouteStage>& stages() const;
@@ -82,9 +86,9 @@
 private:
 	struct Piece
 	{
-		std::string handle; ///< Empty until it was made.
-		bool handedOut = false;
-		bool started = false; ///< Its inputs were fetched.
+		std::string handle;     ///< Handle of the result, empty until there is one.
+		bool handedOut = false; ///< Returned by takeReady().
+		bool started = false;   ///< The endpoint has fetched its inputs.
 	};
 
 	[[nodiscard]] bool isStageCompleted(std::size_t _stage) const;
@@ -93,73 +97,74 @@
 
 	std::vector<RouteStage> plan;
 	std::vector<std::vector<Piece>> pieces;
-	std::set<std::string> taken; ///< Results that were given back.
+	std::set<std::string> taken; ///< Handles returned by takeUnneeded() or takeRemaining().
 };
 
-/// A piece to be made.
+/// An order to compute one piece.
 struct PieceOrder
 {
-	std::uint64_t orderId = 0; ///< Never used twice by one node.
-	std::string request;       ///< Id of the request, as endpoints know it.
+	std::uint64_t orderId = 0; ///< Unique within a node.
+	std::string request;       ///< Id of the request that is sent to endpoints.
 	PieceIndex index;
-	std::string key;                  ///< Of the request's own data, for a stage that works on the request itself.
-	std::vector<std::string> inputs;  ///< Results that it works on.
-	Micros deadline = 0;              ///< Time point after which nobody wants it.
-	Micros due = 0;                   ///< Time point by which it should be made for the request to be in time.
-	std::int64_t priority = 5;        ///< 0 is the most urgent.
-	std::int64_t resultBytes = 0;     ///< Approximate size of the result.
-	std::string preferredDomain = {}; ///< Failure domain where the result is needed, empty when it does not matter.
+	std::string key;                 ///< Key of the request's own data, for a stage that processes the request itself.
+	std::vector<std::string> inputs; ///< Handles of the results that it processes.
+	Micros deadline = 0;             ///< Time point after which the result is useless.
+	Micros due = 0;                  ///< Time point by which it should be complete for the request to meet its target.
+	std::int64_t priority = 5;       ///< 0 is the most urgent.
+	std::int64_t resultBytes = 0;    ///< Approximate size of the result in bytes.
+	/// Failure domain where its large inputs are or its result is needed; empty for any.
+	std::string preferredDomain = {};
 	bool operator==(const PieceOrder&) const = default;
 };
 
-/// Why a piece was not made.
+/// Why a piece was not computed.
 enum class PieceFault
 {
-	Late,       ///< Its time has passed, or it cannot be made in time.
-	InputGone,  ///< A result that it works on is gone.
-	NoSpace,    ///< The endpoint has no room for its result.
-	NoEndpoint, ///< No endpoint could be reached.
+	Late,       ///< Its deadline has passed or cannot be met.
+	InputGone,  ///< A result that it depends on was lost.
+	NoSpace,    ///< The endpoint has no space for its result.
+	NoEndpoint, ///< No endpoint accepted it.
 	Error,      ///< The endpoint failed.
-	NotAdmitted ///< Its request was not let in: it could not be in time.
+	NotAdmitted ///< Its request was not admitted, since it was predicted to miss its target.
 };
 
 std::string_view nameOf(PieceFault _fault);
 
-/// Make these pieces with one call.
+/// Action: compute these pieces with one call.
 struct StartBatch
 {
 	std::uint64_t batch = 0;
 	std::string pool;
 	Endpoint endpoint;
 	std::vector<PieceOrder> orders;
-	Micros deadline = 0;
+	Micros deadline = 0; ///< Time point at which the call times out.
 	bool operator==(const StartBatch&) const = default;
 };
 
-/// Stop a call whose endpoint does not answer.
+/// Action: cancel a call whose endpoint does not answer.
 struct CancelBatch
 {
 	std::uint64_t batch = 0;
 	bool operator==(const CancelBatch&) const = default;
 };
 
-/// The endpoint has fetched what a piece works on: these results are not needed for it any longer.
+/// Event: the endpoint has fetched the inputs of a piece, so that they need not be kept for it any longer.
 struct PieceStarted
 {
 	std::uint64_t orderId = 0;
 	bool operator==(const PieceStarted&) const = default;
 };
 
-/// A piece was made.
+/// Event: a piece was computed.
 struct PieceCompleted
 {
 	std::uint64_t orderId = 0;
 	std::string handle;
-	std::string failureDomain; ///< Of the endpoint that keeps the result.
+	std::string failureDomain; ///< Failure domain of the endpoint that keeps the result.
 	bool operator==(const PieceCompleted&) const = default;
 };
 
-/// A piece was not made, and is not tried any more.
+/// Event: a piece was not computed and is not retried.
 struct PieceFailed
 {
 	std::uint64_t orderId = 0;
@@ -170,20 +175,20 @@
 using BatchAction = std::variant<StartBatch, CancelBatch, PieceStarted, PieceCompleted, PieceFailed>;
 using BatchActions = std::vector<BatchAction>;
 
-/// The endpoint answered: one entry for each order, in order.
+/// The endpoint answered, with one entry for each order of the batch, in the same sequence.
 struct BatchAnswered
 {
 	std::vector<std::variant<std::string, PieceFault>> results; ///< Handle of the result, or why there is none.
 	bool operator==(const BatchAnswered&) const = default;
 };
 
-/// The endpoint said that it did not begin.
+/// The endpoint refused the call and did not begin it.
 struct BatchRefused
 {
 	bool operator==(const BatchRefused&) const = default;
 };
 
-/// No answer, or none that can be used.
+/// There was no answer, or an invalid one.
 struct BatchFailed
 {
 	bool operator==(const BatchFailed&) const = default;
@@ -191,22 +196,24 @@
 
 using BatchEnd = std::variant<BatchAnswered, BatchRefused, BatchFailed>;
 
-/// Times and bounds of a Batcher.
+/// Settings of a Batcher.
 struct BatchConfig
 {
-	double lateShare = 0.1;                        ///< Part of each call that pieces past their due time may take.
-	double callTimeoutFactor = 4.0;                ///< A call that takes so many times as long as told is given up.
-	Micros callTimeoutMargin = 400 * kMillisecond; ///< Added to that, for transfers.
-	Micros inputFetchTime = 100 * kMillisecond; ///< In which a call has fetched its inputs: 15 MB take 12 ms on a link.
-	Micros failurePause = 1500 * kMillisecond;  ///< How long an endpoint that failed gets no call.
-	std::int64_t maxAttempts = 4;               ///< Calls in which one piece may be.
-	Micros fullPause = 60 * kMillisecond;       ///< How long an endpoint without room counts as full.
-	Micros localityWait = 50 * kMillisecond;    ///< How long a large piece waits for an endpoint near to its use.
-	Micros refusedPause = 60 * kMillisecond;    ///< Before an endpoint that was busy gets another call.
+	double lateShare = 0.1;         ///< Share of a batch reserved for pieces that can no longer meet their due time.
+	double callTimeoutFactor = 4.0; ///< A call times out after this multiple of its predicted time.
+	Micros callTimeoutMargin = 400 * kMillisecond; ///< Added to the time-out of a call, for transfers.
+	/// Time after the start of a call at which its inputs count as fetched: 15 MB take 12 ms on a link.
+	Micros inputFetchTime = 100 * kMillisecond;
+	Micros failurePause = 1500 * kMillisecond; ///< How long an endpoint gets no calls after a failed one.
+	std::int64_t maxAttempts = 4;              ///< Maximum calls per piece.
+	Micros fullPause = 60 * kMillisecond;      ///< How long an endpoint that reported no space counts as full.
+	/// How long a piece waits for an endpoint in its preferred failure domain, which only large pieces have.
+	Micros localityWait = 50 * kMillisecond;
+	Micros refusedPause = 60 * kMillisecond; ///< How long an endpoint gets no calls after it refused one.
 	bool operator==(const BatchConfig&) const = default;
 };
 
-/// Forms batches: as soon as an endpoint is free it gets what waits, most urgent first.
+/// Dynamic batcher: as soon as an endpoint is free, it gets a batch of the queued pieces, the most urgent first.
 class Batcher
 {
 public:
@@ -215,30 +222,32 @@
 	void setPools(const std::vector<PoolSpec>& _pools);
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 
-	/// Other nodes may form batches for the same endpoints until then: calls may wait there, and have not fetched their
-	/// inputs so soon after their begin.
+	/// Other nodes may form batches for the same endpoints until @p _until. Calls may queue at an endpoint in
+	/// that time, so that no PieceStarted is emitted before @p _until.
+	/// @param[in] _until Time point; an earlier one than before is ignored.
 	void expectOtherBatchersUntil(Micros _until);
 
-	/// Adds a piece to make. Call tick() afterwards to start calls.
+	/// Queues a piece. Call tick() afterwards to start calls.
 	void add(const std::string& _pool, const PieceOrder& _order, Micros _now);
 
-	/// Forgets a piece that nobody wants; one that is being made is made, and its result given back by nobody.
-	/// @returns Whether it was still waiting.
+	/// Removes a piece from its queue. A piece that is in a call is computed nevertheless; the caller has to free its
+	/// result.
+	/// @returns Whether the piece was still queued.
 	bool cancel(std::uint64_t _orderId);
 
 	BatchActions batchEnded(std::uint64_t _batch, const BatchEnd& _end, Micros _now);
 	BatchActions tick(Micros _now);
 
-	/// A result is not needed any more: its endpoint has room again.
+	/// Releases the space that a result uses at its endpoint.
 	void freeResult(const std::string& _handle);
 
-	/// @returns Predicted time until a piece that was added now would be in a call; nothing for a pool without pieces.
+	/// @returns Predicted time until a piece that is added now is in a call; nothing for a pool without batches.
 	[[nodiscard]] std::optional<Micros> waitTime(const std::string& _pool, Micros _now) const;
 
-	/// @returns That time for each pool that makes pieces.
+	/// @returns waitTime() of each pool with batches.
 	[[nodiscard]] std::map<std::string, Micros> waitTimes(Micros _now) const;
 
-	/// @returns Pieces that wait for a call.
+	/// @returns Number of pieces in the queue of a pool.
 	[[nodiscard]] std::size_t queuedPieces(const std::string& _pool) const;
 
 private:
@@ -246,7 +255,7 @@
 	{
 		PieceOrder order;
 		std::int64_t attempts = 0;
-		std::string avoid; ///< Endpoint that failed it last.
+		std::string avoid; ///< Endpoint whose call failed last.
 		Micros addedAt = 0;
 	};
 
@@ -256,28 +265,28 @@
 		Endpoint endpoint;
 		std::vector<QueuedPiece> pieces;
 		Micros startedAt = 0;
-		Micros nominalTime = 0;
+		Micros nominalTime = 0; ///< Duration by the limits of the pool.
 		Micros deadline = 0;
-		bool startReported = false; ///< Its pieces were told to have started.
+		bool startReported = false; ///< PieceStarted was emitted for its pieces.
 	};
 
 	struct EndpointStatus
 	{
 		Endpoint endpoint;
-		std::int64_t calls = 0;
-		Micros freeAt = 0;          ///< Predicted end of its call.
-		Micros pausedUntil = 0;     ///< Gets no call until then.
-		std::int64_t usedBytes = 0; ///< Bytes of results that it keeps or is making.
-		std::int64_t failures = 0;
-		double slowness = 1; ///< Smoothed ratio of measured to told time.
-		bool listed = true;
+		std::int64_t calls = 0;     ///< Calls in flight.
+		Micros freeAt = 0;          ///< Predicted end of its latest call.
+		Micros pausedUntil = 0;     ///< Gets no calls before this time point.
+		std::int64_t usedBytes = 0; ///< Size of the results that it keeps or is computing.
+		std::int64_t failures = 0;  ///< Consecutive failed or refused calls.
+		double slowness = 1;        ///< Smoothed ratio of measured to nominal call time.
+		bool listed = true;         ///< Whether the current listing contains it.
 	};
 
 	struct Pool
 	{
 		BatchLimits limits;
 		std::vector<QueuedPiece> queue; ///< Most urgent first.
-		double rate = 0;                ///< Pieces made in a second, smoothed.
+		double rate = 0;                ///< Completed pieces per second, smoothed.
 		Micros rateUpdatedAt = 0;
 	};
 
@@ -286,11 +295,11 @@
 	{
 		std::string endpoint;
 		std::int64_t bytes = 0;
-		Micros expiresAt = 0; ///< The endpoint drops it then, if nobody frees it before.
+		Micros expiresAt = 0; ///< Time point at which the endpoint drops it unless it is freed earlier.
 	};
 
 	[[nodiscard]] static bool isMoreUrgent(const QueuedPiece& _left, const QueuedPiece& _right);
-	void enqueue(Pool& _pool, QueuedPiece _waiting);
+	void enqueue(Pool& _pool, QueuedPiece _piece);
 	void dropLate(Pool& _pool, Micros _now, BatchActions& _actions);
 	[[nodiscard]] static std::tuple<bool, bool, double> rank(const QueuedPiece& _piece, const EndpointStatus& _status);
 	EndpointStatus* chooseEndpoint(const std::string& _name, const Pool& _pool, Micros _now);
@@ -316,50 +325,50 @@
 
 	BatchConfig config;
 	std::map<std::string, Pool> pools;
-	std::map<std::string, EndpointStatus> endpoints; ///< By endpoint.
-	std::map<std::uint64_t, Call> calls;
+	std::map<std::string, EndpointStatus> endpoints;             ///< By endpoint id.
+	std::map<std::uint64_t, Call> calls;                         ///< By batch.
 	std::unordered_map<std::string, StoredResult> storedResults; ///< By handle.
 	Micros nextExpiry = 0;
 	std::uint64_t lastUnknownId = 0;
 	Micros otherBatchersUntil = 0;
-	std::set<std::string> leavingEndpoints; ///< Endpoints that were seen leaving; the mark is never taken back.
+	std::set<std::string> leavingEndpoints; ///< Endpoints that were ever listed as leaving; the mark is permanent.
 	std::uint64_t lastBatch = 0;
 };
 
-/// The node that forms the batches of a pool: the same on all nodes that see the same members.
+/// Selects the batching node of a pool, which forms its batches. Nodes with the same members select the same node.
 /// @param[in] _members Live nodes, at least one.
 /// @returns Address of the node.
 std::string batchNodeOf(const std::string& _pool, const std::vector<std::string>& _members);
 
-// Batches over nodes: pieces of all nodes meet at one node for each pool.
+// Batches across nodes: the pieces of all nodes are batched by one node per pool.
 
-/// Asks another node to have pieces made. Times are durations, since nodes share no clock.
+/// Submits pieces to the batching node of their pool. Times are relative, since nodes share no clock.
 struct PieceSubmit
 {
 	std::string pool;
-	std::vector<PieceOrder> orders;          ///< With deadline and due counted from the sending.
-	std::optional<AdmissionTerms> admission; ///< Set for the first pieces of a request.
+	std::vector<PieceOrder> orders;          ///< With deadline and due relative to the time of sending.
+	std::optional<AdmissionTerms> admission; ///< Set with the first pieces of a request.
 	bool operator==(const PieceSubmit&) const = default;
 };
 
-/// Tells another node what became of pieces that it asked for. Without any it says that they are still in hand.
+/// Reports progress to the node that submitted the pieces. An update without pieces is a keepalive.
 struct PieceUpdate
 {
 	std::vector<PieceStarted> started;
 	std::vector<PieceCompleted> completed;
 	std::vector<PieceFailed> failed;
-	std::map<std::string, Micros> waits; ///< Predicted wait of a piece, for each pool whose batches the sender forms.
+	std::map<std::string, Micros> waits; ///< Predicted wait of a piece, by pool whose batching node is the sender.
 	bool operator==(const PieceUpdate&) const = default;
 };
 
-/// Tells another node that pieces are not wanted any more.
+/// Cancels submitted pieces.
 struct PieceCancel
 {
 	std::vector<std::uint64_t> orders;
 	bool operator==(const PieceCancel&) const = default;
 };
 
-/// Tells the node that had results made that they are not needed any more.
+/// Tells the node that batched the pieces that their results are no longer needed.
 struct PieceFree
 {
 	std::vector<std::string> handles;
@@ -368,7 +377,7 @@
 
 using PieceMessage = std::variant<PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
-/// Send a message to another node.
+/// Action: send a message to another node.
 struct SendPieceMessage
 {
 	std::string to;
@@ -376,20 +385,20 @@
 	bool operator==(const SendPieceMessage&) const = default;
 };
 
-/// A result that nobody wants: let its endpoint drop it.
+/// Action: let the endpoint drop a result that is no longer needed.
 struct FreeResult
 {
 	std::string handle;
 	bool operator==(const FreeResult&) const = default;
 };
 
-/// A request was not let in; its pieces fail as NotAdmitted.
+/// Event: a request was not admitted; its pieces fail with PieceFault::NotAdmitted.
 struct RequestNotAdmitted
 {
 	std::string request;
-	std::string from;   ///< Node that asked, empty for this one.
-	Micros maxWait = 0; ///< What it can wait in all.
-	std::map<std::string, Micros> waits;
+	std::string from;                    ///< Node that submitted the pieces, empty for this one.
+	Micros maxWait = 0;                  ///< Maximum total wait of its pieces.
+	std::map<std::string, Micros> waits; ///< Predicted wait, by pool.
 	bool operator==(const RequestNotAdmitted&) const = default;
 };
 
@@ -397,23 +406,25 @@
 								 FreeResult, RequestNotAdmitted>;
 using PieceActions = std::vector<PieceAction>;
 
-/// Times of a PieceScheduler.
+/// Settings of a PieceScheduler.
 struct PieceSchedulerConfig
 {
 	BatchConfig batches;
 	AdmissionConfig admission;
-	Micros keepalivePeriod = 250 * kMillisecond; ///< A node that holds pieces of others tells them so.
-	Micros silenceTimeout = 800 * kMillisecond;  ///< A node that does not is passed over: three times that, and some.
-	Micros handoverTime = 2 * kSecond;  ///< After a change of members, two nodes may form batches for one pool.
-	Micros exclusionTime = 3 * kSecond; ///< How long it is passed over.
-	Micros peerWaitsMaxAge = 1'500 * kMillisecond; ///< How long a time that another node predicted is used.
-	bool sharedBatches = true;                     ///< Whether nodes form batches together, or each for itself.
+	Micros keepalivePeriod = 250 * kMillisecond; ///< Between updates to a node that has pieces submitted here.
+	/// A batching node that sends no update for this time is excluded: 3 keepalive periods and a margin of 50 ms.
+	Micros silenceTimeout = 800 * kMillisecond;
+	/// Time after a change of members during which two nodes may form batches for one pool.
+	Micros handoverTime = 2 * kSecond;
+	Micros exclusionTime = 3 * kSecond;            ///< How long a silent node gets no pieces.
+	Micros peerWaitsMaxAge = 1'500 * kMillisecond; ///< How long a wait predicted by another node is used.
+	bool sharedBatches = true; ///< Whether a pool has one batching node, or each node batches its own pieces.
 	bool operator==(const PieceSchedulerConfig&) const = default;
 };
 
-/// Has pieces made: by this node where it forms the pool's batches, by the node that does otherwise. Two nodes that
-/// both believe to be it cost fuller batches, nothing else; pieces in the hands of a node that falls silent are asked
-/// for again, here or elsewhere.
+/// Schedules pieces: in its own Batcher where this node is the batching node of the pool, otherwise by submitting them
+/// to the batching node. If two nodes both act as the batching node of a pool, batches are less full but nothing else
+/// is affected. Pieces submitted to a node that falls silent are submitted again, here or to another node.
 class PieceScheduler
 {
 public:
@@ -425,38 +436,39 @@
 	/// @param[in] _members Live nodes, this one among them.
 	void setMembers(const std::vector<std::string>& _members, Micros _now);
 
-	/// Has pieces of one pool made.
-	/// @param[in] _admission Given with the first pieces of a request, which may then be refused as NotAdmitted.
+	/// Submits pieces of one pool.
+	/// @param[in] _admission Set with the first pieces of a request, which may then fail with PieceFault::NotAdmitted.
 	PieceActions submit(const std::string& _pool, const std::vector<PieceOrder>& _orders,
 						const std::optional<AdmissionTerms>& _admission, Micros _now);
 
-	/// Nobody wants these pieces any more.
+	/// Cancels pieces whose results are no longer needed.
 	PieceActions cancel(const std::vector<std::uint64_t>& _orders, Micros _now);
 
-	/// Results are not needed any more. The node that had them made keeps account of the endpoints' room.
+	/// Frees results that are no longer needed, through the node that batched them, since it tracks the space at the
+	/// endpoints.
 	PieceActions free(const std::vector<std::string>& _handles, Micros _now);
 
 	PieceActions receive(const std::string& _from, const PieceMessage& _message, Micros _now);
 
-	/// The connection to a node has ended.
+	/// The connection to a node was closed.
 	PieceActions peerClosed(const std::string& _peer, Micros _now);
 
 	PieceActions batchEnded(std::uint64_t _batch, const BatchEnd& _end, Micros _now);
 	PieceActions tick(Micros _now);
 
-	/// @returns The node that forms the pool's batches, as far as this one knows.
+	/// @returns The batching node of a pool, by the members that this node knows.
 	[[nodiscard]] std::string nodeOf(const std::string& _pool, Micros _now) const;
 
 private:
-	/// A piece that this node has made: for itself, or for another.
+	/// An order in the Batcher of this node.
 	struct LocalOrder
 	{
-		std::string peer; ///< Empty for this node itself.
-		std::uint64_t orderId = 0;
-		bool wanted = true;
+		std::string peer;          ///< Node that submitted it, empty for this one.
+		std::uint64_t orderId = 0; ///< Id given by the submitting node.
+		bool wanted = true;        ///< Cleared by a cancellation while the piece is in a call.
 	};
 
-	/// A piece that another node has in hand.
+	/// An order submitted to another node.
 	struct RemoteOrder
 	{
 		std::string peer;
@@ -485,14 +497,16 @@
 	Batcher batcher;
 	StageAdmission admission;
 	std::vector<std::string> members;
-	std::map<std::string, Micros> excludedUntil;                             ///< Nodes that are passed over.
-	std::unordered_map<std::uint64_t, LocalOrder> localOrders;               ///< By the number that the maker knows.
-	std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> localIds; ///< The other way round.
-	std::map<std::uint64_t, RemoteOrder> remoteOrders;                       ///< By order.
-	std::map<std::string, Micros> lastHeardAt;                  ///< Nodes that have pieces of ours in hand.
-	std::map<std::string, std::pair<Micros, Micros>> peerWaits; ///< Waits that others predicted, with when, by pool.
-	std::unordered_map<std::string, std::string> nodeOfHandle; ///< Nodes that had results made for this one, by handle.
-	std::map<std::string, Micros> lastUpdateAt;                ///< Nodes whose pieces are in hand here.
+	std::map<std::string, Micros> excludedUntil;               ///< Silent nodes, which get no pieces.
+	std::unordered_map<std::uint64_t, LocalOrder> localOrders; ///< By local id, which the batcher uses.
+	/// Local id by submitting node and its order id.
+	std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> localIds;
+	std::map<std::uint64_t, RemoteOrder> remoteOrders; ///< By order id.
+	std::map<std::string, Micros> lastHeardAt;         ///< Of the nodes that hold remote orders.
+	/// By pool: wait predicted by its batching node, and time of receipt.
+	std::map<std::string, std::pair<Micros, Micros>> peerWaits;
+	std::unordered_map<std::string, std::string> nodeOfHandle; ///< By handle of a result: node that batched its piece.
+	std::map<std::string, Micros> lastUpdateAt; ///< Time of the last update to each node with local orders.
 	std::uint64_t lastLocalId = 0;
 };
 
--- a/src/batcher.cpp
+++ b/src/batcher.cpp
@@ -28,21 +28,21 @@
 constexpr std::array<std::string_view, 6> kFaultNames = {"late",        "input_gone", "no_room",
 														 "no_endpoint", "error",      "crowded"};
 constexpr double kSlownessSmoothing = 0.3;
-/// Which pieces of a queue one pass over it takes.
+/// Which pieces a pass over a queue selects.
 enum class SelectionPass
 {
-	Late,   ///< Past their due time,
-	Urgent, ///< due within a few calls,
-	Local,  ///< in time, and near to this endpoint,
-	Any     ///< in time.
+	Late,   ///< Can no longer meet their due time.
+	Urgent, ///< Can meet their due time, which is within kUrgentCalls calls.
+	Local,  ///< Can meet their due time, and prefer the failure domain of the endpoint or none.
+	Any     ///< Can meet their due time.
 };
 
-constexpr Micros kUrgentCalls = 3; ///< Calls before its due time from which on a piece is not passed over.
+/// A piece that is due within this number of call times is selected before pieces that are local to the endpoint.
+constexpr Micros kUrgentCalls = 3;
 constexpr double kMaxSlowness = 8.0;
-constexpr Micros kRateSmoothingTime =
-	1'500 * kMillisecond; ///< Over which the rate of made pieces is smoothed: a few calls.
-constexpr double kMinNominalShare = 0.4;
-constexpr double kSlowThreshold = 1.7; ///< An endpoint that takes so many times as long as told is used last.
+constexpr Micros kRateSmoothingTime = 1'500 * kMillisecond; ///< A few calls.
+constexpr double kMinNominalShare = 0.4; ///< Part of its nominal rate that a pool reaches with small batches.
+constexpr double kSlowThreshold = 1.7;   ///< Slowness above which an endpoint is used last.
 constexpr Micros kExpiryPeriod = 100 * kMillisecond;
 
 } // namespace
@@ -138,8 +138,8 @@
 				  });
 }
 
-/// Order of endpoints for a piece, the best first: one that is much slower than told comes last, one that is near to
-/// where the result is needed comes first.
+/// Ranks an endpoint for a piece, lower is better: endpoints above the slowness threshold come last, and among the
+/// others those in the preferred failure domain of the piece come first.
 std::tuple<bool, bool, double> Batcher::rank(const QueuedPiece& _piece, const EndpointStatus& _status)
 {
 	return {_status.slowness > kSlowThreshold, !isLocal(_piece, _status), _status.slowness};
@@ -181,7 +181,7 @@
 	return _used + bytes <= capacity;
 }
 
-/// Whether a piece may go to an endpoint, or should wait for one that is nearer to where its result is needed.
+/// Whether a piece may go to an endpoint instead of waiting for one in its preferred failure domain.
 bool Batcher::mayRunOn(const QueuedPiece& _piece, const EndpointStatus& _status, Micros _now) const
 {
 	return isLocal(_piece, _status) || _now - _piece.addedAt >= this->config.localityWait;
@@ -193,7 +193,8 @@
 	return preferred.empty() || preferred == _status.endpoint.failureDomain;
 }
 
-/// @returns Places in the queue of the pieces for one call: the most urgent ones whose results the endpoint can keep.
+/// @returns Sorted positions in the queue of the pieces for one call: the most urgent ones whose results fit into the
+/// free space of the endpoint.
 std::vector<std::size_t> Batcher::choosePieces(const Pool& _pool, const EndpointStatus& _status, Micros _now) const
 {
 	const auto maxPieces = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.batch));
@@ -207,7 +208,7 @@
 		const std::size_t size = _pool.queue.size();
 		for (std::size_t step = 0; step < size && chosen.size() < _upTo; ++step)
 		{
-			// Of the late ones the latest come last: their inputs may be gone, and their clients too.
+			// Among late pieces the most overdue come last: their inputs or their clients may be gone.
 			const std::size_t index = late ? size - 1 - step : step;
 			const QueuedPiece& piece = _pool.queue[index];
 			const bool isLate = piece.order.due < _now + _pool.limits.callTime;
@@ -223,11 +224,11 @@
 			}
 		}
 	};
-	// What can no longer be in time goes behind what can, apart from a share that keeps it from waiting for ever.
+	// Late pieces come after the others, except for a share of the batch that prevents their starvation.
 	take(SelectionPass::Late,
 		 static_cast<std::size_t>(std::ceil(this->config.lateShare * static_cast<double>(maxPieces))));
 	take(SelectionPass::Urgent, maxPieces);
-	take(SelectionPass::Local, maxPieces); // What has time goes where its inputs or its use are near, if it can.
+	take(SelectionPass::Local, maxPieces); // Pieces that are not urgent preferably go to their failure domain.
 	take(SelectionPass::Any, maxPieces);
 	take(SelectionPass::Late, maxPieces);
 	std::sort(chosen.begin(), chosen.end());
@@ -255,7 +256,7 @@
 	}
 	std::vector<QueuedPiece> rest;
 	rest.reserve(_pool.queue.size() - _chosen.size());
-	auto next = _chosen.begin(); // The places are in order.
+	auto next = _chosen.begin(); // The positions are sorted.
 	for (std::size_t index = 0; index < _pool.queue.size(); ++index)
 	{
 		if (next != _chosen.end() && *next == index)
@@ -292,8 +293,8 @@
 	this->storedResults[_handle] = StoredResult{_call.endpoint.id, _order.resultBytes, _now + lifetime};
 }
 
-/// The endpoint keeps more than is known here, for instance for the node that formed the batches before: it counts as
-/// full for a while.
+/// Counts an endpoint as full for BatchConfig::fullPause: it keeps results that are not known here, for instance those
+/// of the previous batching node.
 void Batcher::markFull(const std::string& _endpoint, Micros _now)
 {
 	const auto status = this->endpoints.find(_endpoint);
@@ -363,7 +364,8 @@
 	}
 	for (const QueuedPiece& piece : call.pieces)
 	{
-		this->releaseSpace(call.endpoint.id, piece.order.resultBytes); // Those that were made take theirs again.
+		// recordResult() adds it again for completed pieces.
+		this->releaseSpace(call.endpoint.id, piece.order.resultBytes);
 	}
 	return call;
 }
@@ -444,7 +446,7 @@
 		for (const QueuedPiece& piece : call.pieces)
 		{
 			QueuedPiece again = piece;
-			again.attempts -= refused ? 1 : 0; // It did not begin.
+			again.attempts -= refused ? 1 : 0; // A refused call did not begin.
 			this->retry(std::move(again), call, refused ? PieceFault::NoEndpoint : PieceFault::Error, actions);
 		}
 	}
@@ -552,7 +554,7 @@
 		return kSecond;
 	}
 	std::sort(freeTimes.begin(), freeTimes.end());
-	// What the pool makes in a second, at least the part of its capacity that it reaches with short batches.
+	// Pieces per second: the measured rate, but at least the share of the nominal rate that small batches reach.
 	const Micros fullCallTime = limits.callTime + limits.pieceTime * limits.batch;
 	const double nominalRate = static_cast<double>(limits.batch) * static_cast<double>(freeTimes.size()) *
 							   static_cast<double>(kSecond) / static_cast<double>(fullCallTime);
--- a/src/piece_scheduler.cpp
+++ b/src/piece_scheduler.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Pieces over nodes: who makes them, and what happens when that node falls silent.
+/// Assigns pieces to batching nodes, and reassigns them when such a node falls silent.
 
 #include <roadferry/roadferry.h>
 
@@ -74,7 +74,7 @@
 	_actions.emplace_back(SendPieceMessage{_to, std::move(_message)});
 }
 
-/// Whether the request of these pieces is let in; only its first pieces are asked for with terms.
+/// Decides on the admission of a request; only its first submission has admission terms.
 bool PieceScheduler::admit(const std::string& _from, const PieceSubmit& _submit, Micros _now, PieceActions& _actions)
 {
 	if (!_submit.admission)
@@ -195,7 +195,7 @@
 		const auto found = this->nodeOfHandle.find(handle);
 		const auto silent =
 			found == this->nodeOfHandle.end() ? this->excludedUntil.end() : this->excludedUntil.find(found->second);
-		// A node that has left or fell silent would not pass it on, and the endpoint would keep the result for seconds.
+		// A node that left or fell silent would not forward it, and the endpoint would keep the result for seconds.
 		const bool departed = found != this->nodeOfHandle.end() && !this->isMember(found->second);
 		if (found == this->nodeOfHandle.end() || departed ||
 			(silent != this->excludedUntil.end() && silent->second > _now))
@@ -434,7 +434,7 @@
 	}
 }
 
-/// Predicted waits at the pools whose batches this node forms.
+/// Predicted waits of the pools whose batching node is this one.
 std::map<std::string, Micros> PieceScheduler::localWaits(Micros _now) const
 {
 	std::map<std::string, Micros> waits = this->batcher.waitTimes(_now);
@@ -469,7 +469,7 @@
 	return actions;
 }
 
-/// Time until a piece would be in a call, as far as this node knows.
+/// Predicted time until a piece is in a call, or 0 if it is unknown.
 Micros PieceScheduler::waitTime(const std::string& _pool, Micros _now) const
 {
 	const auto reported = this->peerWaits.find(_pool);
@@ -478,7 +478,7 @@
 	{
 		return this->batcher.waitTime(_pool, _now).value_or(0);
 	}
-	// Without news from the node that forms the batches nobody is turned away.
+	// Without a recent prediction by the batching node the wait counts as 0, so that no request is refused for it.
 	const bool fresh =
 		reported != this->peerWaits.end() && _now - reported->second.second < this->config.peerWaitsMaxAge;
 	return fresh ? reported->second.first : 0;
