--- a/src/stage_graph.cpp
+++ b/src/stage_graph.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The pieces of one request and what they wait for.
+/// Dependency graph of the pieces of one request.
 
 #include <roadferry/parts/batches.h>
 
--- a/src/stage_times.cpp
+++ b/src/stage_times.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Times of a route's stages.
+/// Predicted times of the stages of a route.
 
 #include "stage_times.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Part of a call that is filled in a pool that is busy but not crowded.
+/// Part of a batch that is filled in a pool that is busy but not overloaded.
 constexpr double kTypicalFill = 0.5;
 
 } // namespace
--- a/src/stage_times.h
+++ b/src/stage_times.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// How long the stages of a route take.
+/// Predicted times of the stages of a route.
 
 #ifndef ROADFERRY_STAGE_TIMES_H_HEADER_GUARD
 #define ROADFERRY_STAGE_TIMES_H_HEADER_GUARD
@@ -14,7 +14,7 @@
 namespace roadferry
 {
 
-/// A route with the pieces that one request has in each of its stages; a stage without any is left out.
+/// A route and the number of pieces of one request in each of its stages; a stage without pieces is skipped.
 struct StagedRoute
 {
 	const RoutePlan& plan;
@@ -23,13 +23,13 @@
 
 	[[nodiscard]] std::int64_t piecesOf(std::size_t _stage) const;
 
-	/// @returns Predicted time from the end of a stage until the request itself can be sent, without waiting for calls.
+	/// @returns Predicted time from the end of a stage until the request itself can be sent, without time in queues.
 	[[nodiscard]] Micros timeAfter(std::size_t _stage) const;
 
-	/// @returns Predicted time of all stages, without waiting for calls.
+	/// @returns Predicted time of all stages, without time in queues.
 	[[nodiscard]] Micros totalTime() const;
 
-	/// @returns What the request asks of each pool.
+	/// @returns Number of pieces of the request by pool.
 	[[nodiscard]] std::vector<PoolDemand> demand() const;
 
 private:
