--- a/src/piece_messages.cpp
+++ b/src/piece_messages.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the messages about pieces.
+/// CBOR encoding of the messages about pieces.
 
 #include "piece_messages.h"
 
@@ -59,7 +59,7 @@
 	return order;
 }
 
-/// Set only in the first ask for a request.
+/// @returns Admission terms, which only the first submission of a request contains.
 std::optional<AdmissionTerms> readAdmissionTerms(CborReader& _reader)
 {
 	if (_reader.value("demand").isUndefined())
--- a/src/piece_messages.h
+++ b/src/piece_messages.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// CBOR form of the messages about pieces.
+/// CBOR encoding of the messages about pieces.
 
 #ifndef ROADFERRY_PIECE_MESSAGES_H_HEADER_GUARD
 #define ROADFERRY_PIECE_MESSAGES_H_HEADER_GUARD
@@ -21,7 +21,7 @@
 QCborMap toCbor(const PieceCancel& _message);
 QCborMap toCbor(const PieceFree& _message);
 
-/// Faults are kept by the reader.
+/// Errors are recorded in the reader.
 PieceSubmit readPieceSubmit(CborReader& _reader);
 PieceUpdate readPieceUpdate(CborReader& _reader);
 
--- a/src/piece_runner.cpp
+++ b/src/piece_runner.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the making of pieces.
+/// Runs pieces on endpoints.
 
 #include "piece_runner.h"
 
@@ -31,7 +31,7 @@
 					  _end);
 }
 
-/// @returns How many pieces were not made, by reason.
+/// @returns Number of pieces that were not computed, by reason.
 std::string faultCounts(const BatchEnd& _end)
 {
 	const auto* answered = std::get_if<BatchAnswered>(&_end);
@@ -49,7 +49,7 @@
 	return absl::StrJoin(counts, " ", absl::PairFormatter("="));
 }
 
-/// One line for each batch: which pieces of which requests, and how long until they are due.
+/// Logs one line per batch, with each piece as request/stage/piece/milliseconds until it is due.
 void logBatch(const StartBatch& _batch, std::uint64_t _listingPosition, Micros _now)
 {
 	std::string pieces;
@@ -66,7 +66,7 @@
 			  {"pieces", pieces}});
 }
 
-/// Why a request was not let in. The node that asked logs what it answered.
+/// Logs why a request was not admitted. The node that submitted it logs the answer to the client.
 void logNotAdmitted(const RequestNotAdmitted& _refused)
 {
 	const auto inMs = [](std::string* _out, const auto& _entry)
@@ -118,7 +118,7 @@
 	this->unneededResults.insert(this->unneededResults.end(), _handles.begin(), _handles.end());
 }
 
-/// A result that nobody wants is to be dropped by the endpoint that keeps it.
+/// Queues a request to the endpoint that keeps a result to drop it.
 void PieceRunner::queueFree(const std::string& _handle)
 {
 	const std::string address = this->wire.keeperOf(_handle);
@@ -174,8 +174,8 @@
 	CallSpec spec;
 	spec.address = _batch.endpoint.address;
 	spec.request = this->wire.batchRequest(_batch, now);
-	spec.timeout =
-		_batch.deadline - now + kConnectTimeout; // The scheduler gives up first; this is for when it does not.
+	// The scheduler cancels the call earlier; this is a fallback.
+	spec.timeout = _batch.deadline - now + kConnectTimeout;
 	spec.connectTimeout = kConnectTimeout;
 	spec.noticeSilence = true;
 	CallHandlers calls;
@@ -221,7 +221,7 @@
 		spec.request = this->wire.freeRequest(entry.second);
 		spec.timeout = kFreeTimeout;
 		spec.connectTimeout = kConnectTimeout;
-		// Whether it arrives does not matter: results that nobody frees expire.
+		// The answer is ignored: results that are not freed expire.
 		this->client.call(0, std::move(spec), CallHandlers{});
 	}
 }
--- a/src/piece_runner.h
+++ b/src/piece_runner.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Carries out what the piece scheduler decides: calls to endpoints and messages to other nodes.
+/// Executes the actions of the piece scheduler: calls to endpoints and messages to other nodes.
 
 #ifndef ROADFERRY_PIECE_RUNNER_H_HEADER_GUARD
 #define ROADFERRY_PIECE_RUNNER_H_HEADER_GUARD
@@ -23,14 +23,14 @@
 	std::function<void(const std::string& _to, const PieceMessage&)> send;
 };
 
-/// Makes pieces. All functions run on thread 0 of the pool.
+/// Runs pieces on endpoints. All functions run on thread 0 of the thread pool.
 class PieceRunner
 {
 public:
 	PieceRunner(HttpClient& _client, const Wire& _wire, PieceScheduler _scheduler, PieceHandlers _handlers);
 
 	void setPlan(const RoutePlan& _plan);
-	/// @param[in] _position Position of the listing in the platform's log, for the logs.
+	/// @param[in] _position Position of the listing in the platform's log, which is added to log lines.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
 	void setMembers(const std::vector<std::string>& _members);
 
@@ -38,7 +38,7 @@
 				const std::optional<AdmissionTerms>& _admission);
 	void cancel(const std::vector<std::uint64_t>& _orders);
 
-	/// Results are not needed any more. They are collected until the next tick.
+	/// Frees results that are no longer needed, at the next tick.
 	void free(const std::vector<std::string>& _handles);
 
 	void receive(const std::string& _from, const PieceMessage& _message);
@@ -56,10 +56,11 @@
 	const Wire& wire;
 	PieceScheduler scheduler;
 	PieceHandlers handlers;
-	std::uint64_t listingPosition = 0;                            ///< Position of the listing in use.
-	std::map<std::uint64_t, std::shared_ptr<HttpCall>> calls;     ///< By batch.
-	std::vector<std::string> unneededResults;                     ///< Results that nobody needs, until the next tick.
-	std::map<std::string, std::vector<std::string>> pendingFrees; ///< Results to drop, by the endpoint that keeps them.
+	std::uint64_t listingPosition = 0; ///< Position of the current listing in the platform's log.
+	std::map<std::uint64_t, std::shared_ptr<HttpCall>> calls; ///< By batch.
+	std::vector<std::string> unneededResults;                 ///< Handles to free at the next tick.
+	/// Handles to free, by address of the endpoint that keeps them.
+	std::map<std::string, std::vector<std::string>> pendingFrees;
 };
 
 } // namespace roadferry
