--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// Stages made in batches: the graph of one request, batches at endpoints, and batches over nodes that fall silent.
+/// Tests of stages computed in batches: the dependency graph of one request, batches at endpoints, and batches across
+/// nodes that fail.
 
 #include "property.h"
 
@@ -46,7 +47,7 @@
 	return result;
 }
 
-/// Endpoints that make what they are sent, and check what they are sent.
+/// Endpoints that compute the pieces of a batch and check the batches that they get.
 class SimulatedEndpoints
 {
 public:
@@ -137,7 +138,7 @@
 						   RC_ASSERT(graph.inputsOf(piece.stage).size() == inputs);
 						   for (const std::string& input : graph.inputsOf(piece.stage))
 						   {
-							   RC_ASSERT(spent.count(input) == 0); // Not given back before it was used.
+							   RC_ASSERT(spent.count(input) == 0); // Not freed before it was used.
 						   }
 						   graph.markStarted(piece);
 						   const std::string handle = std::to_string(piece.stage) + "/" + std::to_string(piece.piece);
@@ -217,7 +218,7 @@
 						   }
 						   world.apply(batcher.tick(now), now);
 					   }
-					   // Endpoints that answer from now on: every order ends.
+					   // Endpoints answer every call from here on, so that every order ends.
 					   for (int step = 0; step < 2'000 && !world.openOrders.empty(); ++step)
 					   {
 						   now += 20 * kMillisecond;
@@ -271,7 +272,7 @@
 	const auto& orders = std::get<StartBatch>(actions.at(0)).orders;
 	cr_assert_eq(orders.size(), static_cast<std::size_t>(kBatchSize));
 	cr_assert_eq(std::count_if(orders.begin(), orders.end(), [](const PieceOrder& _order) { return _order.due > 0; }),
-				 4, "of five one is late");
+				 4, "one piece of five is late");
 }
 
 Test(batches, inputs_do_not_count_as_fetched_while_other_nodes_may_use_the_endpoint)
@@ -287,7 +288,7 @@
 	cr_assert(batcher.tick(120 * kMillisecond).empty(), "the call may wait behind another node's");
 	const BatchActions started = batcher.tick(160 * kMillisecond);
 	cr_assert(std::get<PieceStarted>(started.at(0)) == PieceStarted{1});
-	cr_assert(batcher.tick(180 * kMillisecond).empty(), "told once");
+	cr_assert(batcher.tick(180 * kMillisecond).empty(), "reported once");
 }
 
 Test(batches, pieces_of_a_call_that_times_out_are_retried_on_another_endpoint)
@@ -306,7 +307,7 @@
 namespace
 {
 
-/// Nodes that have pieces made together, over links that lose messages, and endpoints that answer after a while.
+/// Nodes that share batches over links that lose messages, and endpoints that answer after 300 ms.
 class SimulatedCluster
 {
 public:
@@ -350,7 +351,7 @@
 						this->messages.push_back({_node, _send.to, _send.message});
 					},
 					[](const FreeResult&) {},
-					[](const RequestNotAdmitted&) { RC_FAIL("no terms were given"); },
+					[](const RequestNotAdmitted&) { RC_FAIL("orders without admission terms are not refused"); },
 				},
 				action);
 		}
@@ -440,7 +441,7 @@
 						   const int action = *rc::gen::inRange(0, 12);
 						   if (action == 0 && world.schedulers.size() > 1)
 						   {
-							   world.schedulers.erase(node); // Killed: says nothing any more.
+							   world.schedulers.erase(node); // A killed node sends nothing.
 							   world.openOrders[node].clear();
 						   }
 						   else if (action == 1 && world.schedulers.count(node) == 0)
