--- a/tests/test_pieces.cpp
+++ b/tests/test_pieces.cpp
@@ -169,7 +169,7 @@
 	cr_assert_not(graph.isComplete());
 	graph.markCompleted(PieceIndex{1, 0}, "h");
 	cr_assert(graph.isComplete());
-	cr_assert(StageGraph({{"a", {}, 10}}, {}).complete());
+	cr_assert(StageGraph({{"a", {}, 10}}, {}).isComplete());
 }
 
 Test(batches, each_order_ends_once_and_each_endpoint_gets_one_call_at_a_time)
