--- a/src/placement_affinity.cpp
+++ b/src/placement_affinity.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Placement by prompt prefix: calls with one prefix go to the same engine, whose cache then holds it. The gate on the
-/// engine's load is that of "Window 1 Results: B1' + B2 + B3": at most twice the mean.
+/// Placement by prompt prefix: calls with the same prefix go to the same engine, whose cache then holds the prefix. The
+/// gated policy does so only while the load of that engine is at most twice the mean load.
 
 #include <roadferry/roadferry.h>
 
@@ -19,53 +19,53 @@
 namespace
 {
 
-constexpr double kLoadGate = 2.0;
-constexpr double kIdleLoad = 0.25; ///< An engine with less than this is never held for busy.
+constexpr double kMaxLoadRatio = 2.0; ///< Maximum load of the home endpoint, as a multiple of the mean load.
+constexpr double kIdleLoad = 0.25;    ///< Load up to which the home endpoint never counts as overloaded.
 
-std::uint64_t score(const EndpointState& _endpoint, std::uint64_t _prefix)
+std::uint64_t hashScore(const EndpointState& _endpoint, std::uint64_t _prefix)
 {
 	return XXH3_64bits_withSeed(_endpoint.endpoint.id.data(), _endpoint.endpoint.id.size(), _prefix);
 }
 
-EndpointState* homeOf(const PlacementInput& _input)
+EndpointState* homeEndpoint(const PlacementInput& _input)
 {
 	return prefixHome(_input.usable, _input.prefix);
 }
 
-Placement leastFinish(const PlacementInput& _input)
+Placement chooseByLeastFinish(const PlacementInput& _input)
 {
 	static const PlacementPolicy* s_policy = findPlacement("least_finish");
 	return s_policy->choose(_input);
 }
 
-bool hasRoom(const PlacementInput& _input, const EndpointState* _endpoint)
+bool isCandidate(const PlacementInput& _input, const EndpointState* _endpoint)
 {
 	return std::find(_input.candidates.begin(), _input.candidates.end(), _endpoint) != _input.candidates.end();
 }
 
-Placement homeOrReluctantly(const PlacementInput& _input, EndpointState* _home)
+Placement homeOrFallback(const PlacementInput& _input, EndpointState* _home)
 {
-	if (hasRoom(_input, _home))
+	if (isCandidate(_input, _home))
 	{
 		return PlaceAt{_home};
 	}
-	return PlaceReluctantly{std::get<PlaceAt>(leastFinish(_input)).endpoint};
+	return PlaceFallback{std::get<PlaceAt>(chooseByLeastFinish(_input)).endpoint};
 }
 
 Placement chooseAffinity(const PlacementInput& _input)
 {
-	return _input.prefix == 0 ? leastFinish(_input) : homeOrReluctantly(_input, homeOf(_input));
+	return _input.prefix == 0 ? chooseByLeastFinish(_input) : homeOrFallback(_input, homeEndpoint(_input));
 }
 
 Placement chooseAffinityGated(const PlacementInput& _input)
 {
 	if (_input.prefix == 0)
 	{
-		return leastFinish(_input);
+		return chooseByLeastFinish(_input);
 	}
-	EndpointState* home = homeOf(_input);
-	const bool busy = home->load() > std::max(kIdleLoad, kLoadGate * _input.meanLoad);
-	return busy ? leastFinish(_input) : homeOrReluctantly(_input, home);
+	EndpointState* home = homeEndpoint(_input);
+	const bool overloaded = home->load() > std::max(kIdleLoad, kMaxLoadRatio * _input.meanLoad);
+	return overloaded ? chooseByLeastFinish(_input) : homeOrFallback(_input, home);
 }
 
 } // namespace
@@ -74,7 +74,7 @@
 {
 	return *std::max_element(_usable.begin(), _usable.end(),
 							 [&](const EndpointState* _left, const EndpointState* _right)
-							 { return score(*_left, _prefix) < score(*_right, _prefix); });
+							 { return hashScore(*_left, _prefix) < hashScore(*_right, _prefix); });
 }
 
 namespace
