--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -212,7 +212,7 @@
 	request.workspace = _workspace;
 	request.pipeline = _pipeline;
 	request.body = _request.body;
-	request.trace = submission->trace.header();
+	request.trace = submission->trace.toTraceparent();
 	const Micros timeout = this->traffic.timeLimit(*submission) + kRelayGrace;
 	this->relay.pass(_reply->thread(), *issuer, std::move(request), timeout, std::move(sink));
 }
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -67,7 +67,7 @@
 	forward.dispatcher = this->settings.dispatcher;
 	forward.dispatcher.seed = randomNumber();
 	forward.pieces.sharedBatches = this->settings.sharedBatches;
-	forward.lease = std::min(this->settings.changesWithin, this->settings.leavingWithin) - kLeaseMargin;
+	forward.lease = std::min(this->settings.maxRouteUpdateDelay, this->settings.maxEndpointLeaveDelay) - kLeaseMargin;
 	this->traffic = std::make_unique<ForwardTraffic>(
 		this->pool, this->client, *this->wire, this->metrics, forward,
 		[this](const std::string& _to, const PieceMessage& _message)
@@ -213,7 +213,7 @@
 
 void ForwardNode::reload()
 {
-	const absl::StatusOr<Settings> read = rereadSettings();
+	const absl::StatusOr<Settings> read = reloadSettings();
 	if (!read.ok())
 	{
 		logEvent("node", "reload_refused", {{"fault", std::string(read.status().message())}});
@@ -230,7 +230,7 @@
 /// The file may change without a signal.
 void ForwardNode::watchSettings()
 {
-	const std::string text = settingsFileText();
+	const std::string text = readSettingsFile();
 	if (!text.empty() && text != this->settingsText)
 	{
 		this->reload();
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -181,7 +181,7 @@
 	counters.attempts = this->attemptCount;
 	counters.retries = this->retryCount;
 	const Micros now = monotonicNow();
-	return absl::StrCat(this->metrics.text(counters, this->activeCount),
+	return absl::StrCat(this->metrics.toPrometheus(counters, this->activeCount),
 						ageGauge("roadferry_routes_age_seconds", this->knowledge.routesAt, now),
 						ageGauge("roadferry_listing_age_seconds", this->knowledge.listingAt, now));
 }
@@ -540,8 +540,8 @@
 		this->pieces.cancel(orders);
 	}
 	this->pieces.free(_active->graph.takeRemaining());
-	this->metrics.requestEnded(_active->route.streaming ? "streaming" : "plain", _outcome,
-							   static_cast<double>(took) / kMicrosPerSecond);
+	this->metrics.recordRequest(_active->route.streaming ? "streaming" : "plain", _outcome,
+								static_cast<double>(took) / kMicrosPerSecond);
 	const ForwardAnswer::StreamTimes& times = _active->answer.times();
 	logEvent("request", _how,
 			 {{"request", _active->request.id},
--- a/src/log_timeline.cpp
+++ b/src/log_timeline.cpp
@@ -36,7 +36,7 @@
 	return _object.value(QLatin1String(_name)).toVariant().toString().toStdString();
 }
 
-bool readLine(const std::string& _text, LogLine& _line)
+bool parseLine(const std::string& _text, LogLine& _line)
 {
 	const std::size_t brace = _text.find('{');
 	const auto object = brace == std::string::npos ? absl::StatusOr<QJsonObject>(absl::NotFoundError(""))
@@ -58,14 +58,14 @@
 	return absl::StrCat(_line.source, "#", fieldOf(_line.object, "batch"));
 }
 
-std::string textOf(const LogLine& _line)
+std::string formatLine(const LogLine& _line)
 {
-	static const std::set<std::string> s_shownBefore = {"time", "part", "event", "level", "steady_ms"};
+	static const std::set<std::string> s_excludedFields = {"time", "part", "event", "level", "steady_ms"};
 	std::string text = absl::StrCat(_line.time, " ", _line.source, " ", fieldOf(_line.object, "part"), "/",
 									fieldOf(_line.object, "event"));
 	for (auto entry = _line.object.begin(); entry != _line.object.end(); ++entry)
 	{
-		if (s_shownBefore.count(entry.key().toStdString()) == 0)
+		if (s_excludedFields.count(entry.key().toStdString()) == 0)
 		{
 			absl::StrAppend(&text, " ", entry.key().toStdString(), "=", fieldOf(_line.object, entry.key().toUtf8()));
 		}
@@ -75,7 +75,7 @@
 
 } // namespace
 
-std::vector<std::string> timelineOf(const std::string& _request, std::istream& _logs)
+std::vector<std::string> buildTimeline(const std::string& _request, std::istream& _logs)
 {
 	std::vector<LogLine> lines;
 	std::set<std::string> batches;
@@ -83,8 +83,8 @@
 	while (std::getline(_logs, text))
 	{
 		LogLine line;
-		const bool named = absl::StrContains(text, _request);
-		if ((!named && !absl::StrContains(text, "\"batch\"")) || !readLine(text, line))
+		const bool namesRequest = absl::StrContains(text, _request);
+		if ((!namesRequest && !absl::StrContains(text, "\"batch\"")) || !parseLine(text, line))
 		{
 			continue;
 		}
@@ -93,11 +93,11 @@
 			// Numbers begin anew with each start of a node.
 			batches.erase(batchKey(line));
 		}
-		if (named && line.object.contains("batch"))
+		if (namesRequest && line.object.contains("batch"))
 		{
 			batches.insert(batchKey(line));
 		}
-		if (named || batches.count(batchKey(line)) > 0)
+		if (namesRequest || batches.count(batchKey(line)) > 0)
 		{
 			lines.push_back(std::move(line));
 		}
@@ -108,7 +108,7 @@
 	timeline.reserve(lines.size());
 	for (const LogLine& line : lines)
 	{
-		timeline.push_back(textOf(line));
+		timeline.push_back(formatLine(line));
 	}
 	return timeline;
 }
--- a/src/log_timeline.h
+++ b/src/log_timeline.h
@@ -19,7 +19,7 @@
 /// Reads log lines, with or without words of a log collector before the JSON object.
 /// @param[in] _request Id of the request.
 /// @returns One line for each event that concerns it, in order of time: its own, and those of batches with its pieces.
-std::vector<std::string> timelineOf(const std::string& _request, std::istream& _logs);
+std::vector<std::string> buildTimeline(const std::string& _request, std::istream& _logs);
 
 } // namespace roadferry
 
--- a/src/logging.cpp
+++ b/src/logging.cpp
@@ -31,39 +31,39 @@
 
 constexpr int kQueueLines = 4'096;        ///< Lines that may wait for the reader.
 constexpr double kLinesPerSecond = 1'000; ///< Sustained; more are left out and counted.
-constexpr double kLinesBurst = 3'000;
+constexpr double kBurstLines = 3'000;
 
 /// Lets through so many lines a second.
 class LineLimiter
 {
 public:
 	/// @returns Whether a line may be written.
-	bool take()
+	bool tryAcquire()
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
 		const Micros now = monotonicNow();
-		const double passed = static_cast<double>(now - this->filledAt) / static_cast<double>(kSecond);
-		this->saved = std::min(kLinesBurst, this->saved + passed * kLinesPerSecond);
-		this->filledAt = now;
-		if (this->saved < 1)
+		const double elapsedSeconds = static_cast<double>(now - this->refilledAt) / static_cast<double>(kSecond);
+		this->tokens = std::min(kBurstLines, this->tokens + elapsedSeconds * kLinesPerSecond);
+		this->refilledAt = now;
+		if (this->tokens < 1)
 		{
 			return false;
 		}
-		this->saved -= 1;
+		this->tokens -= 1;
 		return true;
 	}
 
 private:
 	std::mutex lock;
-	Micros filledAt = 0;
-	double saved = kLinesBurst;
+	Micros refilledAt = 0;
+	double tokens = kBurstLines;
 };
 
 LineLimiter s_limiter;
-std::atomic<std::uint64_t> s_leftOut{0};
-std::atomic<std::uint64_t> s_leftOutTold{0};
+std::atomic<std::uint64_t> s_droppedLines{0};
+std::atomic<std::uint64_t> s_reportedDroppedLines{0};
 
-QJsonObject lineOf(const std::string& _part, const char* _level)
+QJsonObject makeLine(const std::string& _part, const char* _level)
 {
 	return QJsonObject{{"time", QDateTime::currentDateTimeUtc().toString(Qt::ISODateWithMs)},
 					   {"steady_ms", static_cast<qint64>(monotonicNow() / kMillisecond)},
@@ -71,19 +71,19 @@
 					   {"part", QString::fromStdString(_part)}};
 }
 
-void write(const log4cxx::LevelPtr& _level, QJsonObject _line)
+void writeLine(const log4cxx::LevelPtr& _level, QJsonObject _line)
 {
 	static const log4cxx::LoggerPtr s_logger = log4cxx::Logger::getLogger("roadferry");
-	const bool important = _level->isGreaterOrEqual(log4cxx::Level::getWarn());
-	if (!s_limiter.take() && !important)
+	const bool isImportant = _level->isGreaterOrEqual(log4cxx::Level::getWarn());
+	if (!s_limiter.tryAcquire() && !isImportant)
 	{
-		s_leftOut += 1;
+		s_droppedLines += 1;
 		return;
 	}
-	const std::uint64_t leftOut = s_leftOut;
-	if (leftOut > s_leftOutTold.exchange(leftOut))
+	const std::uint64_t dropped = s_droppedLines;
+	if (dropped > s_reportedDroppedLines.exchange(dropped))
 	{
-		_line["lines_left_out"] = static_cast<qint64>(leftOut);
+		_line["lines_left_out"] = static_cast<qint64>(dropped);
 	}
 	s_logger->log(_level, toText(_line), LOG4CXX_LOCATION);
 }
@@ -91,9 +91,9 @@
 void writeMessage(const log4cxx::LevelPtr& _level, const char* _name, const std::string& _part,
 				  const std::string& _message)
 {
-	QJsonObject line = lineOf(_part, _name);
+	QJsonObject line = makeLine(_part, _name);
 	line["message"] = QString::fromStdString(_message);
-	write(_level, std::move(line));
+	writeLine(_level, std::move(line));
 }
 
 QJsonValue toJson(const LogValue& _value)
@@ -134,20 +134,20 @@
 	log4cxx::Logger::getRootLogger()->setLevel(log4cxx::Level::getInfo());
 }
 
-std::uint64_t logLinesLeftOut()
+std::uint64_t droppedLogLines()
 {
-	return s_leftOut;
+	return s_droppedLines;
 }
 
 void logEvent(const std::string& _part, const std::string& _event, const std::vector<LogField>& _fields)
 {
-	QJsonObject line = lineOf(_part, "info");
+	QJsonObject line = makeLine(_part, "info");
 	line["event"] = QString::fromStdString(_event);
 	for (const LogField& field : _fields)
 	{
 		line[QString::fromStdString(field.name)] = toJson(field.value);
 	}
-	write(log4cxx::Level::getInfo(), std::move(line));
+	writeLine(log4cxx::Level::getInfo(), std::move(line));
 }
 
 void logInfo(const std::string& _part, const std::string& _message)
--- a/src/logging.h
+++ b/src/logging.h
@@ -30,7 +30,7 @@
 void startLogging(LogStream _stream);
 
 /// @returns Lines that were left out since the start, because too many came or nobody read them.
-std::uint64_t logLinesLeftOut();
+std::uint64_t droppedLogLines();
 
 /// Value of a field of an event.
 using LogValue = std::variant<std::string, std::int64_t, bool>;
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -65,7 +65,7 @@
 	absl::StrAppend(&_text, "# TYPE ", _name, " ", _type, "\n", _name, " ", _value, "\n");
 }
 
-std::string label(const char* _name, std::string_view _value)
+std::string makeLabel(const char* _name, std::string_view _value)
 {
 	return absl::StrCat(_name, "=\"", std::string(_value), "\"");
 }
@@ -85,24 +85,25 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::requestEnded(const std::string& _pipeline, const Outcome& _outcome, double _seconds)
+void Metrics::recordRequest(const std::string& _pipeline, const Outcome& _outcome, double _seconds)
 {
 	const std::string labels =
-		absl::StrCat(label("pipeline", _pipeline), ",", label("outcome", nameOf(_outcome.verdict)), ",",
-					 label("reason", nameOf(_outcome.reason)));
+		absl::StrCat(makeLabel("pipeline", _pipeline), ",", makeLabel("outcome", nameOf(_outcome.verdict)), ",",
+					 makeLabel("reason", nameOf(_outcome.reason)));
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->impl->requests[labels].add(_seconds);
 }
 
-void Metrics::stageEnded(const std::string& _pipeline, const std::string& _stage, double _seconds, std::int64_t _tokens)
+void Metrics::recordStage(const std::string& _pipeline, const std::string& _stage, double _seconds,
+						  std::int64_t _tokens)
 {
-	const std::string labels = absl::StrCat(label("pipeline", _pipeline), ",", label("stage", _stage));
+	const std::string labels = absl::StrCat(makeLabel("pipeline", _pipeline), ",", makeLabel("stage", _stage));
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->impl->stages[labels].add(_seconds);
 	this->impl->tokens[labels] += static_cast<std::uint64_t>(_tokens);
 }
 
-std::string Metrics::text(const DispatcherCounters& _counters, std::size_t _inFlight) const
+std::string Metrics::toPrometheus(const DispatcherCounters& _counters, std::size_t _inFlight) const
 {
 	std::string text;
 	appendValue(text, "roadferry_requests_submitted_total", "counter", _counters.submitted);
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -26,14 +26,14 @@
 	Metrics& operator=(const Metrics&) = delete;
 
 	/// @param[in] _seconds From arrival to outcome.
-	void requestEnded(const std::string& _pipeline, const Outcome& _outcome, double _seconds);
+	void recordRequest(const std::string& _pipeline, const Outcome& _outcome, double _seconds);
 
 	/// @param[in] _seconds Time that the endpoint was held.
 	/// @param[in] _tokens Tokens generated.
-	void stageEnded(const std::string& _pipeline, const std::string& _stage, double _seconds, std::int64_t _tokens);
+	void recordStage(const std::string& _pipeline, const std::string& _stage, double _seconds, std::int64_t _tokens);
 
 	/// @returns All metrics as Prometheus text.
-	[[nodiscard]] std::string text(const DispatcherCounters& _counters, std::size_t _inFlight) const;
+	[[nodiscard]] std::string toPrometheus(const DispatcherCounters& _counters, std::size_t _inFlight) const;
 
 private:
 	struct Impl;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -61,7 +61,7 @@
 	trafficSettings.self = Incarnation{this->link->self(), randomNumber()};
 	trafficSettings.dispatcher = this->settings.dispatcher;
 	trafficSettings.dispatcher.seed = randomNumber();
-	trafficSettings.answerBytes = this->settings.answerBytes;
+	trafficSettings.answerBytes = this->settings.resultCacheBytes;
 	this->traffic =
 		std::make_unique<Traffic>(this->pool, this->client, this->metrics, *this->traces, std::move(trafficSettings));
 	this->relay = std::make_unique<Relay>(this->pool, *this->traffic, sendPeer);
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -65,7 +65,7 @@
 	{
 		HttpResponse response;
 		response.contentType = "text/plain; version=0.0.4";
-		response.body = this->metrics.text(this->traffic.counters(), this->traffic.inFlight());
+		response.body = this->metrics.toPrometheus(this->traffic.counters(), this->traffic.inFlight());
 		_reply->send(std::move(response));
 		return true;
 	}
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -68,12 +68,12 @@
 namespace
 {
 
-constexpr std::size_t kSecretLeast = 16;
-constexpr std::size_t kCredentialLeast = 8;
-constexpr std::size_t kMegabyte = 1024 * 1024;
-constexpr std::int64_t kMostPort = 65'535;
+constexpr std::size_t kMinSecretLength = 16;
+constexpr std::size_t kMinCredentialLength = 8;
+constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::int64_t kMaxPort = 65'535;
 /// Endpoints that may be found unreachable before a request gives up, beyond its attempts.
-constexpr std::int64_t kSpareConnects = 3;
+constexpr std::int64_t kMaxExtraConnects = 3;
 
 /// Flags of this file; gflags knows others too, which are none of the daemon's settings.
 const std::vector<std::string>& flagNames()
@@ -117,7 +117,7 @@
 }
 
 /// Flags whose value came from the settings file, which may change it again.
-std::set<std::string>& fileFlags()
+std::set<std::string>& flagsFromFile()
 {
 	static std::set<std::string> s_flags;
 	return s_flags;
@@ -133,41 +133,41 @@
 	return _flag == "callers" || _flag == "operators" || _flag == "peer_secret";
 }
 
-/// Collects the faults of all settings.
-class Checker
+/// Collects the errors of all settings.
+class SettingsChecker
 {
 public:
-	void fault(const std::string& _flag, const std::string& _limit)
+	void addError(const std::string& _flag, const std::string& _requirement)
 	{
-		this->faults.push_back(absl::StrCat(_flag, ": must be ", _limit));
+		this->errors.push_back(absl::StrCat(_flag, ": must be ", _requirement));
 	}
 
-	std::int64_t whole(const std::string& _flag, std::int64_t _value, std::int64_t _least, std::int64_t _most)
+	std::int64_t integer(const std::string& _flag, std::int64_t _value, std::int64_t _min, std::int64_t _max)
 	{
-		if (_value < _least || _value > _most)
+		if (_value < _min || _value > _max)
 		{
-			this->fault(_flag, absl::StrCat("a whole number from ", _least, " to ", _most));
+			this->addError(_flag, absl::StrCat("a whole number from ", _min, " to ", _max));
 		}
 		return _value;
 	}
 
-	double number(const std::string& _flag, double _value, double _least, double _most)
+	double number(const std::string& _flag, double _value, double _min, double _max)
 	{
-		if (!(_value >= _least && _value <= _most))
+		if (!(_value >= _min && _value <= _max))
 		{
-			this->fault(_flag, absl::StrCat("a number from ", _least, " to ", _most));
+			this->addError(_flag, absl::StrCat("a number from ", _min, " to ", _max));
 		}
 		return _value;
 	}
 
-	std::string address(const std::string& _flag, const std::string& _value, int _leastPort = 1)
+	std::string address(const std::string& _flag, const std::string& _value, int _minPort = 1)
 	{
 		const std::vector<std::string> parts = absl::StrSplit(_value, ':');
-		const bool shaped = parts.size() == 2 && !QHostAddress(QString::fromStdString(parts[0])).isNull();
-		const int port = shaped ? std::atoi(parts[1].c_str()) : -1; // NOLINT(cert-err34-c): range is checked here
-		if (port < _leastPort || port > kMostPort)
+		const bool isWellFormed = parts.size() == 2 && !QHostAddress(QString::fromStdString(parts[0])).isNull();
+		const int port = isWellFormed ? std::atoi(parts[1].c_str()) : -1; // NOLINT(cert-err34-c): range is checked here
+		if (port < _minPort || port > kMaxPort)
 		{
-			this->fault(_flag, "an IP number and a port, as in 10.0.0.7:8500");
+			this->addError(_flag, "an IP number and a port, as in 10.0.0.7:8500");
 		}
 		return _value;
 	}
@@ -178,9 +178,9 @@
 		for (const auto part : absl::StrSplit(_value, ',', absl::SkipEmpty()))
 		{
 			const std::pair<std::string, std::string> pair = absl::StrSplit(part, absl::MaxSplits('=', 1));
-			if (pair.first.empty() || pair.second.size() < kCredentialLeast)
+			if (pair.first.empty() || pair.second.size() < kMinCredentialLength)
 			{
-				this->fault(_flag, "name=credential pairs, each credential of 8 characters or more");
+				this->addError(_flag, "name=credential pairs, each credential of 8 characters or more");
 				continue;
 			}
 			result.insert(pair);
@@ -188,24 +188,24 @@
 		return result;
 	}
 
-	void file(const std::string& _flag, const std::string& _path)
+	void requireFile(const std::string& _flag, const std::string& _path)
 	{
 		if (!_path.empty() && !std::filesystem::exists(_path))
 		{
-			this->fault(_flag, "the path of a file that is there");
+			this->addError(_flag, "the path of a file that is there");
 		}
 	}
 
 	[[nodiscard]] absl::Status status() const
 	{
-		return this->faults.empty() ? absl::OkStatus() : absl::InvalidArgumentError(absl::StrJoin(this->faults, "\n"));
+		return this->errors.empty() ? absl::OkStatus() : absl::InvalidArgumentError(absl::StrJoin(this->errors, "\n"));
 	}
 
-	std::vector<std::string> faults;
+	std::vector<std::string> errors;
 };
 
 /// Takes each flag of the settings file that was not given otherwise.
-void takeFile(Checker& _checker, const std::string& _text)
+void applyFile(SettingsChecker& _checker, const std::string& _text)
 {
 	for (const auto line : absl::StrSplit(_text, '\n'))
 	{
@@ -222,20 +222,20 @@
 			continue; // Of a later version, or another program's.
 		}
 		gflags::CommandLineFlagInfo info;
-		const bool fromFile = fileFlags().count(pair.first) > 0;
-		if (!gflags::GetCommandLineFlagInfo(pair.first.c_str(), &info) || (!info.is_default && !fromFile))
+		const bool isFromFile = flagsFromFile().count(pair.first) > 0;
+		if (!gflags::GetCommandLineFlagInfo(pair.first.c_str(), &info) || (!info.is_default && !isFromFile))
 		{
 			continue;
 		}
-		fileFlags().insert(pair.first);
+		flagsFromFile().insert(pair.first);
 		if (gflags::SetCommandLineOption(pair.first.c_str(), pair.second.c_str()).empty())
 		{
-			_checker.fault(pair.first, absl::StrCat("of type ", info.type));
+			_checker.addError(pair.first, absl::StrCat("of type ", info.type));
 		}
 	}
 }
 
-void takeEnvironment(Checker& _checker)
+void applyEnvironment(SettingsChecker& _checker)
 {
 	for (const std::string& name : flagNames())
 	{
@@ -247,16 +247,16 @@
 		}
 		if (gflags::SetCommandLineOption(name.c_str(), value).empty())
 		{
-			_checker.fault(environmentName(name), absl::StrCat("of type ", info.type));
+			_checker.addError(environmentName(name), absl::StrCat("of type ", info.type));
 		}
 	}
 }
 
-void readDispatcher(Checker& _checker, DispatcherConfig& _config)
+void readDispatcher(SettingsChecker& _checker, DispatcherConfig& _config)
 {
 	if (findPlacement(FLAGS_placement) == nullptr)
 	{
-		_checker.fault("placement", absl::StrCat("one of ", absl::StrJoin(placementNames(), ", ")));
+		_checker.addError("placement", absl::StrCat("one of ", absl::StrJoin(placementNames(), ", ")));
 	}
 	_config.placement = FLAGS_placement;
 	_config.urgentReserve = _checker.number("urgent_reserve", FLAGS_urgent_reserve, 0.0, 0.9);
@@ -265,8 +265,8 @@
 }
 
 /// Puts an address of IP and port in place of the two flags for them.
-void readListen(Checker& _checker, const std::string& _flag, const std::string& _value, std::string& _ip,
-				std::uint16_t& _port)
+void readListenAddress(SettingsChecker& _checker, const std::string& _flag, const std::string& _value, std::string& _ip,
+					   std::uint16_t& _port)
 {
 	if (_value.empty())
 	{
@@ -282,12 +282,12 @@
 	}
 }
 
-void readForwarding(Checker& _checker, Settings& _settings)
+void readForwarding(SettingsChecker& _checker, Settings& _settings)
 {
 	_settings.adapter = FLAGS_adapter;
-	readListen(_checker, "listen", FLAGS_listen, _settings.ip, _settings.port);
-	readListen(_checker, "peer_listen", FLAGS_peer_listen, _settings.ip, _settings.peerPort);
-	readListen(_checker, "readiness_listen", FLAGS_readiness_listen, _settings.ip, _settings.readinessPort);
+	readListenAddress(_checker, "listen", FLAGS_listen, _settings.ip, _settings.port);
+	readListenAddress(_checker, "peer_listen", FLAGS_peer_listen, _settings.ip, _settings.peerPort);
+	readListenAddress(_checker, "readiness_listen", FLAGS_readiness_listen, _settings.ip, _settings.readinessPort);
 	if (!FLAGS_peer_announce.empty())
 	{
 		_settings.peerAnnounce = _checker.address("peer_announce", FLAGS_peer_announce);
@@ -301,26 +301,28 @@
 	{
 		_settings.seeds.push_back(_checker.address("seeds", std::string(seed)));
 	}
-	_settings.changesWithin = _checker.whole("changes_within_ms", FLAGS_changes_within_ms, 500, 60'000) * kMillisecond;
-	_settings.leavingWithin = _checker.whole("leaving_within_ms", FLAGS_leaving_within_ms, 500, 60'000) * kMillisecond;
+	_settings.maxRouteUpdateDelay =
+		_checker.integer("changes_within_ms", FLAGS_changes_within_ms, 500, 60'000) * kMillisecond;
+	_settings.maxEndpointLeaveDelay =
+		_checker.integer("leaving_within_ms", FLAGS_leaving_within_ms, 500, 60'000) * kMillisecond;
 	_settings.retrySlack = _checker.number("retry_slack", FLAGS_retry_slack, 0, 100'000);
 	_settings.sharedBatches = FLAGS_shared_batches;
-	_settings.dispatcher.maxExtraConnects = kSpareConnects;
+	_settings.dispatcher.maxExtraConnects = kMaxExtraConnects;
 }
 
-void readHttp(Checker& _checker, HttpServerLimits& _limits)
+void readHttp(SettingsChecker& _checker, HttpServerLimits& _limits)
 {
 	_limits.bodyBytes =
-		static_cast<std::size_t>(_checker.whole("body_limit_kb", FLAGS_body_limit_kb, 1, 65'536)) * 1024;
-	_limits.connections = static_cast<std::size_t>(_checker.whole("connections", FLAGS_connections, 16, 65'536));
+		static_cast<std::size_t>(_checker.integer("body_limit_kb", FLAGS_body_limit_kb, 1, 65'536)) * 1024;
+	_limits.connections = static_cast<std::size_t>(_checker.integer("connections", FLAGS_connections, 16, 65'536));
 	_limits.requestTimeout =
-		_checker.whole("request_timeout_ms", FLAGS_request_timeout_ms, 100, 600'000) * kMillisecond;
+		_checker.integer("request_timeout_ms", FLAGS_request_timeout_ms, 100, 600'000) * kMillisecond;
 	_limits.headerTimeout = _limits.requestTimeout;
 }
 
 } // namespace
 
-std::string settingsFileText()
+std::string readSettingsFile()
 {
 	std::ifstream file(FLAGS_settings);
 	std::ostringstream text;
@@ -328,33 +330,33 @@
 	return FLAGS_settings.empty() || !file ? std::string() : text.str();
 }
 
-absl::StatusOr<Settings> rereadSettings()
+absl::StatusOr<Settings> reloadSettings()
 {
 	return readSettings();
 }
 
 absl::StatusOr<Settings> readSettings()
 {
-	Checker checker;
-	takeEnvironment(checker);
+	SettingsChecker checker;
+	applyEnvironment(checker);
 	Settings settings;
-	settings.fileText = settingsFileText();
+	settings.fileText = readSettingsFile();
 	if (!FLAGS_settings.empty() && settings.fileText.empty())
 	{
-		checker.fault("settings", "the path of a file that can be read");
+		checker.addError("settings", "the path of a file that can be read");
 	}
-	takeFile(checker, settings.fileText);
+	applyFile(checker, settings.fileText);
 	settings.ip = FLAGS_ip;
 	if (QHostAddress(QString::fromStdString(FLAGS_ip)).isNull())
 	{
-		checker.fault("ip", "an IP number");
+		checker.addError("ip", "an IP number");
 	}
-	settings.port = static_cast<std::uint16_t>(checker.whole("port", FLAGS_port, 0, kMostPort));
-	settings.peerPort = static_cast<std::uint16_t>(checker.whole("peer_port", FLAGS_peer_port, 0, kMostPort));
+	settings.port = static_cast<std::uint16_t>(checker.integer("port", FLAGS_port, 0, kMaxPort));
+	settings.peerPort = static_cast<std::uint16_t>(checker.integer("peer_port", FLAGS_peer_port, 0, kMaxPort));
 	settings.failureDomain = FLAGS_failure_domain;
 	if (FLAGS_failure_domain.empty())
 	{
-		checker.fault("failure_domain", "the name of this VM's failure domain");
+		checker.addError("failure_domain", "the name of this VM's failure domain");
 	}
 	if (FLAGS_adapter.empty())
 	{
@@ -364,23 +366,24 @@
 	settings.callers = checker.credentials("callers", FLAGS_callers);
 	settings.operators = checker.credentials("operators", FLAGS_operators);
 	settings.peerSecret = FLAGS_peer_secret;
-	if (FLAGS_peer_secret.size() < kSecretLeast)
+	if (FLAGS_peer_secret.size() < kMinSecretLength)
 	{
-		checker.fault("peer_secret", "16 characters or more");
+		checker.addError("peer_secret", "16 characters or more");
 	}
 	settings.tls = TlsFiles{FLAGS_tls_certificate, FLAGS_tls_key};
-	checker.file("tls_certificate", FLAGS_tls_certificate);
-	checker.file("tls_key", FLAGS_tls_key);
+	checker.requireFile("tls_certificate", FLAGS_tls_certificate);
+	checker.requireFile("tls_key", FLAGS_tls_key);
 	if (FLAGS_tls_certificate.empty() != FLAGS_tls_key.empty())
 	{
-		checker.fault("tls_key", "given together with tls_certificate, or neither");
+		checker.addError("tls_key", "given together with tls_certificate, or neither");
 	}
-	settings.threads = static_cast<std::size_t>(checker.whole("threads", FLAGS_threads, 1, 64));
+	settings.threads = static_cast<std::size_t>(checker.integer("threads", FLAGS_threads, 1, 64));
 	settings.traceFile = FLAGS_trace_file;
-	settings.drainSeconds = checker.whole("drain_seconds", FLAGS_drain_seconds, 1, 3'600);
+	settings.drainSeconds = checker.integer("drain_seconds", FLAGS_drain_seconds, 1, 3'600);
 	settings.endpointsPerPool =
-		static_cast<std::size_t>(checker.whole("endpoints_per_pool", FLAGS_endpoints_per_pool, 8, 10'000));
-	settings.answerBytes = static_cast<std::size_t>(checker.whole("answer_mb", FLAGS_answer_mb, 1, 1'024)) * kMegabyte;
+		static_cast<std::size_t>(checker.integer("endpoints_per_pool", FLAGS_endpoints_per_pool, 8, 10'000));
+	settings.resultCacheBytes =
+		static_cast<std::size_t>(checker.integer("answer_mb", FLAGS_answer_mb, 1, 1'024)) * kBytesPerMegabyte;
 	readHttp(checker, settings.http);
 	readDispatcher(checker, settings.dispatcher);
 	readForwarding(checker, settings);
@@ -398,8 +401,8 @@
 		{
 			continue;
 		}
-		const bool hidden = isSecretFlag(name) && !info.current_value.empty();
-		const std::string value = hidden ? "(set)" : info.current_value;
+		const bool isHidden = isSecretFlag(name) && !info.current_value.empty();
+		const std::string value = isHidden ? "(set)" : info.current_value;
 		absl::StrAppend(&text, name, "\t", value, "\t", info.default_value, "\t", info.description, "\n");
 	}
 	return text;
--- a/src/settings.h
+++ b/src/settings.h
@@ -37,7 +37,7 @@
 	std::size_t threads = 2;
 	std::string traceFile;
 	std::int64_t drainSeconds = 30;
-	std::size_t answerBytes = 64 * 1024 * 1024;
+	std::size_t resultCacheBytes = 64 * 1024 * 1024;
 	HttpServerLimits http;
 	std::size_t endpointsPerPool = 256;
 	DispatcherConfig dispatcher;
@@ -45,10 +45,10 @@
 	// Of a node that forwards.
 	std::string adapter; ///< Name of the platform's adapter; empty for a node with tickets of its own.
 	std::uint16_t readinessPort = 0;
-	std::string feedAddress;            ///< What tells of routes and endpoints.
-	std::vector<std::string> seeds;     ///< Addresses of some other nodes.
-	Micros changesWithin = 2 * kSecond; ///< In which a change of the routes has to be in force.
-	Micros leavingWithin = 2 * kSecond; ///< In which requests to an endpoint that leaves have to end.
+	std::string feedAddress;                    ///< What tells of routes and endpoints.
+	std::vector<std::string> seeds;             ///< Addresses of some other nodes.
+	Micros maxRouteUpdateDelay = 2 * kSecond;   ///< In which a change of the routes has to be in force.
+	Micros maxEndpointLeaveDelay = 2 * kSecond; ///< In which requests to an endpoint that leaves have to end.
 	double retrySlack = 20;    ///< Retries that all nodes together may make beyond retry_share, in each window.
 	bool sharedBatches = true; ///< Whether nodes form batches together.
 	std::string fileText;      ///< Text of the settings file, empty when there is none.
@@ -60,10 +60,10 @@
 absl::StatusOr<Settings> readSettings();
 
 /// Reads the settings file again, over the flags as they are.
-absl::StatusOr<Settings> rereadSettings();
+absl::StatusOr<Settings> reloadSettings();
 
 /// @returns Text of the settings file, empty when none is named or it cannot be read.
-std::string settingsFileText();
+std::string readSettingsFile();
 
 /// @returns One line for each setting: name, value, default, description. Credentials are not shown.
 std::string describeSettings();
--- a/src/stage_call.cpp
+++ b/src/stage_call.cpp
@@ -214,7 +214,7 @@
 	call.fresh = _spec.attempt.atMostOnce;
 	call.request.method = "POST";
 	call.request.target = "/v1/run";
-	call.request.headers = {{"Content-Type", "application/json"}, {"traceparent", _spec.trace.header()}};
+	call.request.headers = {{"Content-Type", "application/json"}, {"traceparent", _spec.trace.toTraceparent()}};
 	call.request.body = bodyOf(_spec);
 	CallHandlers handlers;
 	if (streams)
--- a/src/standin.h
+++ b/src/standin.h
@@ -23,17 +23,17 @@
 enum class FaultMode
 {
 	None,
-	Slow,         ///< Answers later by some milliseconds.
-	Drop,         ///< The effect takes place, and the answer is lost.
-	Cut,          ///< A stream ends in the middle.
-	Freeze,       ///< Takes the request and does not answer.
-	Refuse,       ///< Answers that it did not begin.
-	WrongAttempt, ///< Answers under the id of another attempt.
-	Out           ///< Closes the connection without doing anything.
+	Slow,           ///< Answers later by some milliseconds.
+	DropResponse,   ///< The effect takes place, and the answer is lost.
+	TruncateStream, ///< A stream ends in the middle.
+	Freeze,         ///< Takes the request and does not answer.
+	Refuse,         ///< Answers that it did not begin.
+	WrongAttempt,   ///< Answers under the id of another attempt.
+	Unavailable     ///< Closes the connection without doing anything.
 };
 
 /// The fault in force, and how many more requests it is to hit.
-class FaultSwitch
+class FaultInjector
 {
 public:
 	/// Answers POST /fault.
@@ -41,10 +41,10 @@
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 	/// @returns The fault that this request is to suffer.
-	FaultMode next();
+	FaultMode takeFault();
 
 	/// @returns Milliseconds of the fault in force.
-	[[nodiscard]] std::int64_t milliseconds() const;
+	[[nodiscard]] std::int64_t slowDelayMs() const;
 
 private:
 	/// @returns Empty on success, otherwise what is wrong with the body.
@@ -52,8 +52,8 @@
 
 	mutable std::mutex lock;
 	FaultMode mode = FaultMode::None;
-	std::int64_t delay = 0;
-	std::int64_t left = 0; ///< Requests still to be hit; negative for all.
+	std::int64_t slowMs = 0;
+	std::int64_t remaining = 0; ///< Requests still to be hit; negative for all.
 };
 
 /// A stand-in: takes requests from its server until the process ends.
@@ -69,11 +69,11 @@
 {
 	std::string kind;
 	std::string id;
-	std::int64_t serviceMs = 5; ///< Time of one call; for an engine the time to the first token.
-	std::int64_t tokenMs = 1;   ///< Time between two tokens of an engine.
-	std::int64_t slots = 8;     ///< Calls run at once.
-	std::int64_t retain = 0;    ///< Records that the log keeps, 0 for all.
-	std::int64_t rate = 100;    ///< Appends a second that the log takes.
+	std::int64_t serviceMs = 5;          ///< Time of one call; for an engine the time to the first token.
+	std::int64_t tokenMs = 1;            ///< Time between two tokens of an engine.
+	std::int64_t slots = 8;              ///< Calls run at once.
+	std::int64_t maxRecords = 0;         ///< Records that the log keeps, 0 for all.
+	std::int64_t appendsPerSecond = 100; ///< Appends a second that the log takes.
 };
 
 std::unique_ptr<Standin> makeEndpointStandin(IoPool& _pool, const StandinSettings& _settings);
--- a/src/standin_balancer.cpp
+++ b/src/standin_balancer.cpp
@@ -25,8 +25,8 @@
 using Tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr std::int64_t kCheckPeriod = 100'000;
-constexpr std::int64_t kCheckTimeout = 500'000;
+constexpr std::int64_t kCheckPeriodUs = 100'000;
+constexpr std::int64_t kCheckTimeoutUs = 500'000;
 constexpr std::size_t kBufferSize = 32 * 1024;
 
 struct Backend
@@ -34,14 +34,15 @@
 	std::string address;
 	Tcp::endpoint endpoint;
 	bool healthy = false;
-	bool checking = false;
+	bool checkPending = false;
 };
 
 /// Copies bytes both ways between a caller and a back end until either closes.
-class Splice : public std::enable_shared_from_this<Splice>
+class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection>
 {
 public:
-	Splice(Tcp::socket _caller, asio::io_context& _context) : sides{std::move(_caller), Tcp::socket(_context)}
+	ProxiedConnection(Tcp::socket _caller, asio::io_context& _context)
+		: sides{std::move(_caller), Tcp::socket(_context)}
 	{
 	}
 
@@ -52,14 +53,14 @@
 									 {
 										 if (!_error)
 										 {
-											 self->copy(0);
-											 self->copy(1);
+											 self->receive(0);
+											 self->receive(1);
 										 }
 									 });
 	}
 
 private:
-	void copy(std::size_t _from)
+	void receive(std::size_t _from)
 	{
 		this->sides.at(_from).async_read_some(
 			asio::buffer(this->buffers.at(_from)),
@@ -70,11 +71,11 @@
 					self->close();
 					return;
 				}
-				self->pass(_from, _bytes);
+				self->forward(_from, _bytes);
 			});
 	}
 
-	void pass(std::size_t _from, std::size_t _bytes)
+	void forward(std::size_t _from, std::size_t _bytes)
 	{
 		asio::async_write(this->sides.at(1 - _from), asio::buffer(this->buffers.at(_from).data(), _bytes),
 						  [self = this->shared_from_this(), _from](const Error& _error, std::size_t)
@@ -84,7 +85,7 @@
 								  self->close();
 								  return;
 							  }
-							  self->copy(_from);
+							  self->receive(_from);
 						  });
 	}
 
@@ -116,32 +117,32 @@
 	{
 	}
 
-	void check()
+	void checkBackends()
 	{
 		for (std::size_t index = 0; index < this->backends.size(); ++index)
 		{
-			this->checkOne(index);
+			this->checkBackend(index);
 		}
 	}
 
-	void checkOne(std::size_t _index)
+	void checkBackend(std::size_t _index)
 	{
 		Backend& backend = this->backends[_index];
-		if (backend.checking)
+		if (backend.checkPending)
 		{
 			return;
 		}
-		backend.checking = true;
+		backend.checkPending = true;
 		CallSpec spec;
 		spec.address = backend.address;
 		spec.request.target = "/ready";
-		spec.timeout = kCheckTimeout;
+		spec.timeout = kCheckTimeoutUs;
 		spec.fresh = true;
 		CallHandlers handlers;
 		handlers.onEnd = [self = this->shared_from_this(), _index](const CallEnd& _end)
 		{
 			Backend& checked = self->backends[_index];
-			checked.checking = false;
+			checked.checkPending = false;
 			checked.healthy = _end.result == CallResult::Complete && _end.status == 200;
 		};
 		this->client.call(0, std::move(spec), std::move(handlers));
@@ -154,21 +155,21 @@
 			{
 				if (!_error)
 				{
-					self->pass(std::move(_socket));
+					self->proxy(std::move(_socket));
 				}
 				self->accept();
 			});
 	}
 
-	void pass(Tcp::socket _socket)
+	void proxy(Tcp::socket _socket)
 	{
-		for (std::size_t tried = 0; tried < this->backends.size(); ++tried)
+		for (std::size_t attempt = 0; attempt < this->backends.size(); ++attempt)
 		{
-			const Backend& backend = this->backends[this->turn];
-			this->turn = (this->turn + 1) % this->backends.size();
+			const Backend& backend = this->backends[this->nextBackend];
+			this->nextBackend = (this->nextBackend + 1) % this->backends.size();
 			if (backend.healthy)
 			{
-				std::make_shared<Splice>(std::move(_socket), this->pool.context(0))->start(backend.endpoint);
+				std::make_shared<ProxiedConnection>(std::move(_socket), this->pool.context(0))->start(backend.endpoint);
 				return;
 			}
 		}
@@ -178,7 +179,7 @@
 	HttpClient client;
 	Tcp::acceptor acceptor;
 	std::vector<Backend> backends;
-	std::size_t turn = 0;
+	std::size_t nextBackend = 0;
 };
 
 StandinBalancer::StandinBalancer(IoPool& _pool, std::vector<std::string> _backends)
@@ -212,7 +213,7 @@
 		return error.message();
 	}
 	this->impl->accept();
-	this->impl->pool.every(0, kCheckPeriod, [impl = this->impl] { impl->check(); });
+	this->impl->pool.every(0, kCheckPeriodUs, [impl = this->impl] { impl->checkBackends(); });
 	return {};
 }
 
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -21,9 +21,9 @@
 namespace
 {
 
-constexpr std::int64_t kMillisecondUs = 1'000;
-constexpr std::int64_t kTokensMost = 100'000;
-constexpr std::size_t kTextLimit = 200;
+constexpr std::int64_t kMicrosPerMillisecond = 1'000;
+constexpr std::int64_t kMaxTokens = 100'000;
+constexpr std::size_t kMaxTextLength = 200;
 
 /// One call as it was received.
 struct Run
@@ -36,15 +36,15 @@
 	std::int64_t position = 0; ///< Next token to send.
 	FaultMode fault = FaultMode::None;
 	std::shared_ptr<HttpReply> reply;
-	bool gone = false;
+	bool clientDisconnected = false;
 };
 
-QString text(const std::string& _text)
+QString toQString(const std::string& _text)
 {
 	return QString::fromStdString(_text);
 }
 
-std::string eventOf(const QJsonObject& _object)
+std::string formatEvent(const QJsonObject& _object)
 {
 	return "data: " + toText(_object) + "\n\n";
 }
@@ -91,7 +91,7 @@
 	void sendLoad(const std::shared_ptr<HttpReply>& _reply) const
 	{
 		_reply->send(jsonResponse(200, QJsonObject{{"running", this->running},
-												   {"queued", static_cast<qint64>(this->waiting.size())},
+												   {"queued", static_cast<qint64>(this->queued.size())},
 												   {"leaving", this->leaving}}));
 	}
 
@@ -100,21 +100,21 @@
 		const auto object = parseObject(_request.body);
 		if (!object.ok())
 		{
-			_reply->send(jsonResponse(400, QJsonObject{{"error", text(std::string(object.status().message()))}}));
+			_reply->send(jsonResponse(400, QJsonObject{{"error", toQString(std::string(object.status().message()))}}));
 			return;
 		}
 		JsonReader reader(*object);
 		auto run = std::make_shared<Run>();
-		run->attempt = reader.text("attempt", kTextLimit);
-		run->request = reader.textOr("request", kTextLimit, "");
-		run->stage = reader.textOr("stage", kTextLimit, "");
+		run->attempt = reader.text("attempt", kMaxTextLength);
+		run->request = reader.textOr("request", kMaxTextLength, "");
+		run->stage = reader.textOr("stage", kMaxTextLength, "");
 		run->marker = object->value("input").toObject().value("marker").toString().toStdString();
-		run->tokens = reader.integerOr("max_tokens", 0, kTokensMost, 0);
-		run->position = reader.integerOr("resume", 0, kTokensMost, 0);
+		run->tokens = reader.integerOr("max_tokens", 0, kMaxTokens, 0);
+		run->position = reader.integerOr("resume", 0, kMaxTokens, 0);
 		run->reply = _reply;
 		if (!reader.status().ok())
 		{
-			_reply->send(jsonResponse(400, QJsonObject{{"error", text(std::string(reader.status().message()))}}));
+			_reply->send(jsonResponse(400, QJsonObject{{"error", toQString(std::string(reader.status().message()))}}));
 			return;
 		}
 		this->admit(run);
@@ -122,8 +122,8 @@
 
 	void admit(const std::shared_ptr<Run>& _run)
 	{
-		_run->fault = this->faults.next();
-		if (_run->fault == FaultMode::Out)
+		_run->fault = this->faults.takeFault();
+		if (_run->fault == FaultMode::Unavailable)
 		{
 			_run->reply->abort();
 			return;
@@ -133,22 +133,22 @@
 			_run->reply->send(jsonResponse(503, QJsonObject{{"not_begun", true}}));
 			return;
 		}
-		_run->reply->onGone([_run] { _run->gone = true; });
+		_run->reply->onGone([_run] { _run->clientDisconnected = true; });
 		if (this->running >= this->settings.slots)
 		{
-			this->waiting.push_back(_run);
+			this->queued.push_back(_run);
 			return;
 		}
-		this->begin(_run);
+		this->start(_run);
 	}
 
-	void begin(const std::shared_ptr<Run>& _run)
+	void start(const std::shared_ptr<Run>& _run)
 	{
 		this->running += 1;
-		this->ledger.append(QJsonObject{{"attempt", text(_run->attempt)},
-										{"request", text(_run->request)},
-										{"marker", text(_run->marker)},
-										{"stage", text(_run->stage)},
+		this->ledger.append(QJsonObject{{"attempt", toQString(_run->attempt)},
+										{"request", toQString(_run->request)},
+										{"marker", toQString(_run->marker)},
+										{"stage", toQString(_run->stage)},
 										{"resumed", _run->position > 0}});
 		if (_run->fault == FaultMode::Freeze)
 		{
@@ -158,9 +158,9 @@
 		std::int64_t delay = this->settings.serviceMs;
 		if (_run->fault == FaultMode::Slow)
 		{
-			delay += this->faults.milliseconds();
+			delay += this->faults.slowDelayMs();
 		}
-		this->pool.after(0, delay * kMillisecondUs, [this, _run] { this->served(_run); });
+		this->pool.after(0, delay * kMicrosPerMillisecond, [this, _run] { this->respond(_run); });
 	}
 
 	void releaseFrozen()
@@ -169,16 +169,16 @@
 		this->frozen.clear();
 		for (const auto& run : runs)
 		{
-			this->served(run);
+			this->respond(run);
 		}
 	}
 
-	void served(const std::shared_ptr<Run>& _run)
+	void respond(const std::shared_ptr<Run>& _run)
 	{
-		if (_run->fault == FaultMode::Drop)
+		if (_run->fault == FaultMode::DropResponse)
 		{
 			_run->reply->abort();
-			this->end();
+			this->finish();
 			return;
 		}
 		if (_run->fault == FaultMode::WrongAttempt)
@@ -191,54 +191,55 @@
 			this->stream(_run);
 			return;
 		}
-		const QJsonObject output{{"marker", text(_run->marker)}, {"by", text(this->settings.kind)}};
-		_run->reply->send(jsonResponse(200, QJsonObject{{"attempt", text(_run->attempt)}, {"output", output}}));
-		this->end();
+		const QJsonObject output{{"marker", toQString(_run->marker)}, {"by", toQString(this->settings.kind)}};
+		_run->reply->send(jsonResponse(200, QJsonObject{{"attempt", toQString(_run->attempt)}, {"output", output}}));
+		this->finish();
 	}
 
 	void stream(const std::shared_ptr<Run>& _run)
 	{
-		const bool cut = _run->fault == FaultMode::Cut && _run->position * 2 >= _run->tokens;
-		if (_run->gone || cut)
+		const bool isTruncated = _run->fault == FaultMode::TruncateStream && _run->position * 2 >= _run->tokens;
+		if (_run->clientDisconnected || isTruncated)
 		{
 			_run->reply->abort();
-			this->end();
+			this->finish();
 			return;
 		}
 		if (_run->position >= _run->tokens)
 		{
-			_run->reply->write(eventOf(QJsonObject{
-				{"attempt", text(_run->attempt)}, {"done", true}, {"tokens", static_cast<qint64>(_run->tokens)}}));
+			_run->reply->write(formatEvent(QJsonObject{
+				{"attempt", toQString(_run->attempt)}, {"done", true}, {"tokens", static_cast<qint64>(_run->tokens)}}));
 			_run->reply->endStream();
-			this->end();
+			this->finish();
 			return;
 		}
-		const QString token = text(_run->marker + ":" + std::to_string(_run->position) + " ");
-		_run->reply->write(eventOf(QJsonObject{
-			{"attempt", text(_run->attempt)}, {"position", static_cast<qint64>(_run->position)}, {"text", token}}));
+		const QString token = toQString(_run->marker + ":" + std::to_string(_run->position) + " ");
+		_run->reply->write(formatEvent(QJsonObject{{"attempt", toQString(_run->attempt)},
+												   {"position", static_cast<qint64>(_run->position)},
+												   {"text", token}}));
 		_run->position += 1;
-		this->pool.after(0, this->settings.tokenMs * kMillisecondUs, [this, _run] { this->stream(_run); });
+		this->pool.after(0, this->settings.tokenMs * kMicrosPerMillisecond, [this, _run] { this->stream(_run); });
 	}
 
-	void end()
+	void finish()
 	{
 		this->running -= 1;
-		while (!this->waiting.empty() && this->running < this->settings.slots)
+		while (!this->queued.empty() && this->running < this->settings.slots)
 		{
-			const auto run = this->waiting.front();
-			this->waiting.pop_front();
-			if (!run->gone)
+			const auto run = this->queued.front();
+			this->queued.pop_front();
+			if (!run->clientDisconnected)
 			{
-				this->begin(run);
+				this->start(run);
 			}
 		}
 	}
 
 	IoPool& pool;
 	StandinSettings settings;
-	FaultSwitch faults;
+	FaultInjector faults;
 	QJsonArray ledger;
-	std::deque<std::shared_ptr<Run>> waiting;
+	std::deque<std::shared_ptr<Run>> queued;
 	std::vector<std::shared_ptr<Run>> frozen;
 	qint64 running = 0;
 	bool leaving = false;
--- a/src/standin_fault.cpp
+++ b/src/standin_fault.cpp
@@ -20,31 +20,31 @@
 {
 	static const std::map<std::string, FaultMode> s_modes = {{"none", FaultMode::None},
 															 {"slow", FaultMode::Slow},
-															 {"drop", FaultMode::Drop},
-															 {"cut", FaultMode::Cut},
+															 {"drop", FaultMode::DropResponse},
+															 {"cut", FaultMode::TruncateStream},
 															 {"freeze", FaultMode::Freeze},
 															 {"refuse", FaultMode::Refuse},
 															 {"wrong_attempt", FaultMode::WrongAttempt},
-															 {"out", FaultMode::Out}};
+															 {"out", FaultMode::Unavailable}};
 	return s_modes;
 }
 
-constexpr std::int64_t kMost = 1'000'000'000;
+constexpr std::int64_t kMaxInteger = 1'000'000'000;
 
 } // namespace
 
-bool FaultSwitch::handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply)
+bool FaultInjector::handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply)
 {
 	if (_request.target != "/fault")
 	{
 		return false;
 	}
-	const std::string fault = this->set(_request.body);
-	_reply->send(jsonResponse(fault.empty() ? 200 : 400, QJsonObject{{"error", QString::fromStdString(fault)}}));
+	const std::string error = this->set(_request.body);
+	_reply->send(jsonResponse(error.empty() ? 200 : 400, QJsonObject{{"error", QString::fromStdString(error)}}));
 	return true;
 }
 
-std::string FaultSwitch::set(const std::string& _body)
+std::string FaultInjector::set(const std::string& _body)
 {
 	const auto object = parseObject(_body);
 	if (!object.ok())
@@ -53,8 +53,8 @@
 	}
 	JsonReader reader(*object);
 	const std::string name = reader.text("mode", 20);
-	const std::int64_t delayMs = reader.integerOr("ms", 0, kMost, 0);
-	const std::int64_t count = reader.integerOr("count", 0, kMost, 0);
+	const std::int64_t delayMs = reader.integerOr("ms", 0, kMaxInteger, 0);
+	const std::int64_t count = reader.integerOr("count", 0, kMaxInteger, 0);
 	const auto found = faultModes().find(name);
 	if (found == faultModes().end())
 	{
@@ -66,29 +66,29 @@
 	}
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->mode = found->second;
-	this->delay = delayMs;
-	this->left = count == 0 ? -1 : count;
+	this->slowMs = delayMs;
+	this->remaining = count == 0 ? -1 : count;
 	return {};
 }
 
-FaultMode FaultSwitch::next()
+FaultMode FaultInjector::takeFault()
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	if (this->left == 0)
+	if (this->remaining == 0)
 	{
 		return FaultMode::None;
 	}
-	if (this->left > 0)
+	if (this->remaining > 0)
 	{
-		this->left -= 1;
+		this->remaining -= 1;
 	}
 	return this->mode;
 }
 
-std::int64_t FaultSwitch::milliseconds() const
+std::int64_t FaultInjector::slowDelayMs() const
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->delay;
+	return this->slowMs;
 }
 
 HttpResponse jsonResponse(unsigned _status, const QJsonObject& _body)
--- a/src/standin_log.cpp
+++ b/src/standin_log.cpp
@@ -20,8 +20,8 @@
 namespace
 {
 
-constexpr qint64 kRecordsAtOnce = 500;
-constexpr std::int64_t kMillisecondUs = 1'000;
+constexpr qint64 kMaxRecordsPerRead = 500;
+constexpr std::int64_t kMicrosPerMillisecond = 1'000;
 
 class LogStandin final : public Standin
 {
@@ -36,13 +36,13 @@
 		{
 			return;
 		}
-		const FaultMode fault = this->faults.next();
-		if (fault == FaultMode::Out)
+		const FaultMode fault = this->faults.takeFault();
+		if (fault == FaultMode::Unavailable)
 		{
 			_reply->abort();
 			return;
 		}
-		const std::int64_t delay = fault == FaultMode::Slow ? this->faults.milliseconds() * kMillisecondUs : 0;
+		const std::int64_t delay = fault == FaultMode::Slow ? this->faults.slowDelayMs() * kMicrosPerMillisecond : 0;
 		this->pool.after(0, delay, [this, _request, _reply, fault] { this->serve(_request, _reply, fault); });
 	}
 
@@ -65,46 +65,48 @@
 
 	void append(const std::string& _record, const std::shared_ptr<HttpReply>& _reply, FaultMode _fault)
 	{
-		if (!this->withinRate())
+		if (!this->admitAppend())
 		{
 			_reply->send(jsonResponse(429, {}));
 			return;
 		}
 		this->records.push_back(_record);
-		this->appends += 1;
-		if (this->settings.retain > 0 && static_cast<std::int64_t>(this->records.size()) > this->settings.retain)
+		this->appendCount += 1;
+		if (this->settings.maxRecords > 0 &&
+			static_cast<std::int64_t>(this->records.size()) > this->settings.maxRecords)
 		{
 			this->records.pop_front();
-			this->first += 1;
+			this->firstOffset += 1;
 		}
-		if (_fault == FaultMode::Drop)
+		if (_fault == FaultMode::DropResponse)
 		{
 			_reply->abort();
 			return;
 		}
-		_reply->send(jsonResponse(200, QJsonObject{{"offset", this->next() - 1}}));
+		_reply->send(jsonResponse(200, QJsonObject{{"offset", this->nextOffset() - 1}}));
 	}
 
 	void read(qint64 _from, const std::shared_ptr<HttpReply>& _reply) const
 	{
-		const qint64 from = std::max(_from, this->first);
+		const qint64 from = std::max(_from, this->firstOffset);
 		QJsonArray list;
-		for (qint64 offset = from; offset < this->next() && offset < from + kRecordsAtOnce; ++offset)
+		for (qint64 offset = from; offset < this->nextOffset() && offset < from + kMaxRecordsPerRead; ++offset)
 		{
-			const std::string& record = this->records.at(static_cast<std::size_t>(offset - this->first));
+			const std::string& record = this->records.at(static_cast<std::size_t>(offset - this->firstOffset));
 			list.append(QJsonObject{{"offset", offset}, {"data", QString::fromStdString(record)}});
 		}
-		_reply->send(jsonResponse(
-			200, QJsonObject{
-					 {"first", this->first}, {"next", this->next()}, {"appends", this->appends}, {"records", list}}));
+		_reply->send(jsonResponse(200, QJsonObject{{"first", this->firstOffset},
+												   {"next", this->nextOffset()},
+												   {"appends", this->appendCount},
+												   {"records", list}}));
 	}
 
-	[[nodiscard]] qint64 next() const
+	[[nodiscard]] qint64 nextOffset() const
 	{
-		return this->first + static_cast<qint64>(this->records.size());
+		return this->firstOffset + static_cast<qint64>(this->records.size());
 	}
 
-	bool withinRate()
+	bool admitAppend()
 	{
 		const auto now = std::chrono::steady_clock::now();
 		if (now - this->windowStart >= std::chrono::seconds(1))
@@ -113,15 +115,15 @@
 			this->windowAppends = 0;
 		}
 		this->windowAppends += 1;
-		return this->windowAppends <= this->settings.rate;
+		return this->windowAppends <= this->settings.appendsPerSecond;
 	}
 
 	IoPool& pool;
 	StandinSettings settings;
-	FaultSwitch faults;
+	FaultInjector faults;
 	std::deque<std::string> records;
-	qint64 first = 1;
-	qint64 appends = 0;
+	qint64 firstOffset = 1;
+	qint64 appendCount = 0;
 	std::chrono::steady_clock::time_point windowStart;
 	std::int64_t windowAppends = 0;
 };
--- a/src/standin_vmlist.cpp
+++ b/src/standin_vmlist.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr const char* kPrefix = "/vms/";
+constexpr const char* kVmPathPrefix = "/vms/";
 
 class VmListStandin final : public Standin
 {
@@ -29,22 +29,22 @@
 		}
 		if (_request.target == "/vms")
 		{
-			this->list(_reply);
+			this->sendList(_reply);
 			return;
 		}
-		if (_request.target.rfind(kPrefix, 0) != 0)
+		if (_request.target.rfind(kVmPathPrefix, 0) != 0)
 		{
 			_reply->send(jsonResponse(404, {}));
 			return;
 		}
-		this->change(_request, _request.target.substr(std::string(kPrefix).size()), _reply);
+		this->change(_request, _request.target.substr(std::string(kVmPathPrefix).size()), _reply);
 	}
 
 private:
-	void list(const std::shared_ptr<HttpReply>& _reply)
+	void sendList(const std::shared_ptr<HttpReply>& _reply)
 	{
-		const FaultMode fault = this->faults.next();
-		if (fault == FaultMode::Out || fault == FaultMode::Drop)
+		const FaultMode fault = this->faults.takeFault();
+		if (fault == FaultMode::Unavailable || fault == FaultMode::DropResponse)
 		{
 			_reply->abort();
 			return;
@@ -82,7 +82,7 @@
 		_reply->send(jsonResponse(200, {}));
 	}
 
-	FaultSwitch faults;
+	FaultInjector faults;
 	std::map<std::string, QJsonObject> current;
 	std::map<std::string, QJsonObject> published;
 };
--- a/src/trace.cpp
+++ b/src/trace.cpp
@@ -73,7 +73,7 @@
 
 } // namespace
 
-std::string TraceContext::header() const
+std::string TraceContext::toTraceparent() const
 {
 	return absl::StrCat("00-", this->traceId, "-", this->spanId, "-01");
 }
@@ -99,7 +99,7 @@
 	return std::chrono::duration_cast<std::chrono::nanoseconds>(now).count();
 }
 
-TraceWriter::TraceWriter(const std::string& _file, std::string _service) : service(std::move(_service))
+TraceWriter::TraceWriter(const std::string& _file, std::string _instanceId) : instanceId(std::move(_instanceId))
 {
 	if (!_file.empty())
 	{
@@ -115,7 +115,7 @@
 	}
 	const QJsonObject scope{{"scope", QJsonObject{{"name", "roadferry"}}}, {"spans", QJsonArray{spanJson(_span)}}};
 	const QJsonObject resource{{"attributes", QJsonArray{attribute("service.name", "roadferryd"),
-														 attribute("service.instance.id", this->service)}}};
+														 attribute("service.instance.id", this->instanceId)}}};
 	const QJsonObject resourceSpans{{"resource", resource}, {"scopeSpans", QJsonArray{scope}}};
 	const std::string line = toText(QJsonObject{{"resourceSpans", QJsonArray{resourceSpans}}});
 	const std::lock_guard<std::mutex> guard(this->lock);
--- a/src/trace.h
+++ b/src/trace.h
@@ -27,7 +27,7 @@
 	bool operator==(const TraceContext&) const = default;
 
 	/// @returns Value of the header traceparent.
-	[[nodiscard]] std::string header() const;
+	[[nodiscard]] std::string toTraceparent() const;
 };
 
 /// @returns The context of a traceparent header, or a new trace when the header is missing or malformed.
@@ -55,14 +55,14 @@
 class TraceWriter
 {
 public:
-	TraceWriter(const std::string& _file, std::string _service);
+	TraceWriter(const std::string& _file, std::string _instanceId);
 
 	void write(const Span& _span);
 
 private:
 	std::mutex lock;
 	std::ofstream file;
-	std::string service;
+	std::string instanceId;
 };
 
 } // namespace roadferry
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -409,8 +409,8 @@
 	_active->call = nullptr;
 	_active->attemptSpan.endNs = wallNanoseconds();
 	this->traces.write(_active->attemptSpan);
-	this->metrics.stageEnded(_active->submission.pipeline, report.stage, static_cast<double>(held) / kMicrosPerSecond,
-							 report.tokens);
+	this->metrics.recordStage(_active->submission.pipeline, report.stage, static_cast<double>(held) / kMicrosPerSecond,
+							  report.tokens);
 	Actions actions;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
@@ -461,7 +461,8 @@
 		sink->result(result->status, result->retryAfter, result->json);
 	}
 	_active->sinks.clear();
-	this->metrics.requestEnded(_active->submission.pipeline, _outcome, static_cast<double>(elapsed) / kMicrosPerSecond);
+	this->metrics.recordRequest(_active->submission.pipeline, _outcome,
+								static_cast<double>(elapsed) / kMicrosPerSecond);
 	_active->span.endNs = _active->span.beginNs + elapsed * kNanosPerMicro;
 	_active->span.failed = _outcome.verdict != Verdict::Answered;
 	_active->span.attributes = {{"outcome", std::string(nameOf(_outcome.verdict))},
--- a/tests/test_logs.cpp
+++ b/tests/test_logs.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-Test(logs, full_pipe_holds_nobody_up_and_what_is_left_out_is_counted)
+Test(logs, full_pipe_does_not_block_callers_and_dropped_lines_are_counted)
 {
 	int pipes[2] = {-1, -1};
 	cr_assert_eq(pipe(pipes), 0);
@@ -57,7 +57,7 @@
 	}
 	const auto took = std::chrono::steady_clock::now() - begin;
 	cr_expect_lt(std::chrono::duration_cast<std::chrono::seconds>(took).count(), 10);
-	cr_expect_gt(logLinesLeftOut(), 10'000);
+	cr_expect_gt(droppedLogLines(), 10'000);
 	fcntl(pipes[0], F_SETFL, O_NONBLOCK);
 	std::string text;
 	Deployment::await("lines come once somebody reads",
@@ -71,7 +71,7 @@
 	close(pipes[0]);
 }
 
-Test(logs, story_joins_a_request_with_the_batches_of_its_pieces)
+Test(logs, timeline_includes_the_batches_of_the_request_pieces)
 {
 	std::istringstream logs(
 		R"(n1 {"event":"batch_started","part":"pieces","batch":4,"pieces":"r-1/0/0/300","time":"2026-01-01T00:00:02.000Z"}
@@ -83,7 +83,7 @@
 n1 {"event":"batch_ended","part":"pieces","batch":4,"end":"answered","time":"2026-01-01T00:00:06.000Z"}
 n2 {"event":"answered","part":"request","request":"r-1","took_ms":9,"time":"2026-01-01T00:00:04.000Z"}
 )");
-	const std::vector<std::string> timeline = timelineOf("r-1", logs);
+	const std::vector<std::string> timeline = buildTimeline("r-1", logs);
 	cr_assert_eq(timeline.size(), 4);
 	cr_assert(absl::StrContains(timeline[0], "n2 request/admitted"), "%s", timeline[0].c_str());
 	cr_assert(absl::StrContains(timeline[2], "n1 pieces/batch_ended batch=4 end=answered"), "%s", timeline[2].c_str());
--- a/tools/roadferry.cpp
+++ b/tools/roadferry.cpp
@@ -35,15 +35,15 @@
 
 using namespace roadferry;
 
-constexpr int kOk = 0;
-constexpr int kRefused = 1; ///< The daemon refused: a conflict or a broken limit.
-constexpr int kUsage = 2;
-constexpr int kUnreachable = 3;
-constexpr int kUnknown = 4; ///< The edit may take effect later.
-constexpr int kDiffers = 5; ///< table diff found differences.
+constexpr int kExitOk = 0;
+constexpr int kExitRefused = 1; ///< The daemon refused: a conflict or a broken limit.
+constexpr int kExitUsage = 2;
+constexpr int kExitUnreachable = 3;
+constexpr int kExitOutcomeUnknown = 4; ///< The edit may take effect later.
+constexpr int kExitDiffers = 5;        ///< table diff found differences.
 constexpr int kTimeoutMs = 15'000;
-constexpr int kWatchMs = 500;
-constexpr unsigned kStatusUnknown = 504;
+constexpr int kWatchPeriodMs = 500;
+constexpr unsigned kHttpOutcomeUnknown = 504;
 
 constexpr const char* kHelp = R"(roadferry [--node=IP:PORT] [--credential=...] [--json] COMMAND
 
@@ -71,7 +71,7 @@
 	std::string text;
 };
 
-std::string settingOr(const std::string& _flag, const char* _variable)
+std::string flagOrEnvironment(const std::string& _flag, const char* _variable)
 {
 	const char* value = std::getenv(_variable);
 	return _flag.empty() && value != nullptr ? value : _flag;
@@ -80,11 +80,11 @@
 Reply call(const char* _method, const std::string& _path, const std::string& _body = {})
 {
 	QNetworkAccessManager network;
-	const std::string node = settingOr(FLAGS_node, "ROADFERRY_NODE");
+	const std::string node = flagOrEnvironment(FLAGS_node, "ROADFERRY_NODE");
 	QNetworkRequest request(QUrl(QString::fromStdString(absl::StrCat("http://", node, "/operator/", _path))));
 	request.setTransferTimeout(kTimeoutMs);
 	request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
-	const std::string credential = settingOr(FLAGS_credential, "ROADFERRY_CREDENTIAL");
+	const std::string credential = flagOrEnvironment(FLAGS_credential, "ROADFERRY_CREDENTIAL");
 	request.setRawHeader("Authorization", QByteArray::fromStdString("Bearer " + credential));
 	QNetworkReply* reply = network.sendCustomRequest(request, _method, QByteArray::fromStdString(_body));
 	QEventLoop loop;
@@ -108,18 +108,18 @@
 	return (direct.isEmpty() ? _reply.json["error"]["message"].toString() : direct).toStdString();
 }
 
-int exitOf(const Reply& _reply)
+int exitCodeOf(const Reply& _reply)
 {
 	if (_reply.status == 0)
 	{
-		return kUnreachable;
+		return kExitUnreachable;
 	}
 	if (_reply.status < 300)
 	{
-		return kOk;
+		return kExitOk;
 	}
 	std::cerr << "roadferry: " << messageOf(_reply) << std::endl;
-	return _reply.status == kStatusUnknown ? kUnknown : kRefused;
+	return _reply.status == kHttpOutcomeUnknown ? kExitOutcomeUnknown : kExitRefused;
 }
 
 /// Prints a list of objects as aligned columns.
@@ -154,15 +154,15 @@
 	}
 }
 
-absl::StatusOr<TableSnapshot> readTable(int& _exit)
+absl::StatusOr<TableSnapshot> readTable(int& _exitCode)
 {
 	const Reply reply = call("GET", "table");
-	_exit = exitOf(reply);
-	return _exit == kOk ? snapshotFromJson(reply.json) : absl::UnavailableError("table not read");
+	_exitCode = exitCodeOf(reply);
+	return _exitCode == kExitOk ? snapshotFromJson(reply.json) : absl::UnavailableError("table not read");
 }
 
 /// The edit that a file stands for, against the table as it is.
-absl::StatusOr<TableEdit> editOfFile(const std::string& _file, const TableSnapshot& _table)
+absl::StatusOr<TableEdit> readEdit(const std::string& _file, const TableSnapshot& _table)
 {
 	std::ifstream stream(_file);
 	if (!stream)
@@ -184,8 +184,8 @@
 void printChange(const TableSnapshot& _table, const RowChange& _change)
 {
 	const auto found = _table.rows.find(_change.key);
-	const bool there = found != _table.rows.end() && found->second.row.has_value();
-	const QJsonObject before = there ? toJson(*found->second.row) : QJsonObject();
+	const bool isPresent = found != _table.rows.end() && found->second.row.has_value();
+	const QJsonObject before = isPresent ? toJson(*found->second.row) : QJsonObject();
 	const QJsonObject after = _change.row ? toJson(*_change.row) : QJsonObject();
 	std::cout << nameOf(_change.key.kind) << " " << _change.key.name << ":";
 	if (after.isEmpty())
@@ -203,16 +203,16 @@
 	std::cout << "\n";
 }
 
-int tableGet()
+int printTable()
 {
 	const Reply reply = call("GET", "table");
-	if (exitOf(reply) != kOk)
+	if (exitCodeOf(reply) != kExitOk)
 	{
-		return exitOf(reply);
+		return exitCodeOf(reply);
 	}
 	const auto table = snapshotFromJson(reply.json);
 	std::cout << (FLAGS_json || !table.ok() ? reply.text + "\n" : rowsToCsv(*table));
-	return kOk;
+	return kExitOk;
 }
 
 int sendEdit(const TableEdit& _edit)
@@ -227,31 +227,31 @@
 		std::cout << "accepted at offset " << reply.json["offset"].toInteger() << ", " << _edit.changes.size()
 				  << " rows\n";
 	}
-	else if (reply.status == kStatusUnknown)
+	else if (reply.status == kHttpOutcomeUnknown)
 	{
 		std::cout << "edit id " << _edit.id << "\n";
 	}
-	return exitOf(reply);
+	return exitCodeOf(reply);
 }
 
-int tableFile(const std::string& _file, bool _send)
+int diffOrSetTable(const std::string& _file, bool _send)
 {
-	int code = kOk;
-	const auto table = readTable(code);
+	int exitCode = kExitOk;
+	const auto table = readTable(exitCode);
 	if (!table.ok())
 	{
-		return code;
+		return exitCode;
 	}
-	const auto edit = editOfFile(_file, *table);
+	const auto edit = readEdit(_file, *table);
 	if (!edit.ok())
 	{
 		std::cerr << "roadferry: " << edit.status().message() << std::endl;
-		return kRefused;
+		return kExitRefused;
 	}
 	if (edit->changes.empty())
 	{
 		std::cout << "no change\n";
-		return kOk;
+		return kExitOk;
 	}
 	if (_send)
 	{
@@ -261,18 +261,18 @@
 	{
 		printChange(*table, change);
 	}
-	return kDiffers;
+	return kExitDiffers;
 }
 
-int tableDelete(const std::string& _kind, const std::string& _name)
+int deleteRow(const std::string& _kind, const std::string& _name)
 {
 	const auto kind = rowKindOf(_kind);
-	int code = kOk;
-	const auto table = kind ? readTable(code) : absl::InvalidArgumentError("");
+	int exitCode = kExitOk;
+	const auto table = kind ? readTable(exitCode) : absl::InvalidArgumentError("");
 	if (!kind || !table.ok())
 	{
 		std::cerr << "roadferry: KIND: must be workspace, pipeline or stage" << std::endl;
-		return kind ? code : kUsage;
+		return kind ? exitCode : kExitUsage;
 	}
 	const RowKey key{*kind, _name};
 	const auto found = table->rows.find(key);
@@ -295,42 +295,42 @@
 }
 
 /// @param[in] _watch Whether to go on for ever.
-int tableHistory(bool _watch)
+int printHistory(bool _watch)
 {
-	std::int64_t seen = 0;
+	std::int64_t lastOffset = 0;
 	while (true)
 	{
 		const Reply reply = call("GET", "table/history");
-		if (exitOf(reply) != kOk)
+		if (exitCodeOf(reply) != kExitOk)
 		{
-			return exitOf(reply);
+			return exitCodeOf(reply);
 		}
 		const QJsonArray edits = reply.json["edits"].toArray();
 		for (const QJsonValue edit : edits)
 		{
-			if (edit["offset"].toInteger() > seen)
+			if (edit["offset"].toInteger() > lastOffset)
 			{
 				printEdit(edit);
-				seen = edit["offset"].toInteger();
+				lastOffset = edit["offset"].toInteger();
 			}
 		}
 		if (!_watch)
 		{
-			return kOk;
+			return kExitOk;
 		}
 		QEventLoop loop;
-		QTimer::singleShot(kWatchMs, &loop, &QEventLoop::quit);
+		QTimer::singleShot(kWatchPeriodMs, &loop, &QEventLoop::quit);
 		loop.exec();
 	}
 }
 
-int pipelines()
+int printPipelines()
 {
-	int code = kOk;
-	const auto table = readTable(code);
+	int exitCode = kExitOk;
+	const auto table = readTable(exitCode);
 	if (!table.ok())
 	{
-		return code;
+		return exitCode;
 	}
 	QJsonArray list;
 	for (const auto& entry : table->rows)
@@ -350,41 +350,41 @@
 		list.append(object);
 	}
 	printColumns(list, {"name", "workspace", "stages", "deadline_ms", "urgent"});
-	return kOk;
+	return kExitOk;
 }
 
-int show(const std::string& _path, const char* _list, const std::vector<const char*>& _columns)
+int printResource(const std::string& _path, const char* _list, const std::vector<const char*>& _columns)
 {
 	const Reply reply = call("GET", _path);
-	if (exitOf(reply) != kOk)
+	if (exitCodeOf(reply) != kExitOk)
 	{
-		return exitOf(reply);
+		return exitCodeOf(reply);
 	}
 	if (FLAGS_json || _list == nullptr)
 	{
 		std::cout << QJsonDocument(reply.json).toJson(QJsonDocument::Indented).toStdString();
-		return kOk;
+		return kExitOk;
 	}
 	printColumns(reply.json[QLatin1String(_list)].toArray(), _columns);
-	return kOk;
+	return kExitOk;
 }
 
-int settingsCheck()
+int checkSettings()
 {
 	const auto settings = readSettings();
 	if (!settings.ok())
 	{
 		std::cerr << settings.status().message() << std::endl;
-		return kRefused;
+		return kExitRefused;
 	}
 	std::cout << describeSettings();
-	return kOk;
+	return kExitOk;
 }
 
 /// Joins the log lines on standard input into the timeline of one request.
-int explainLogs(const std::string& _request)
+int printTimeline(const std::string& _request)
 {
-	const std::vector<std::string> timeline = timelineOf(_request, std::cin);
+	const std::vector<std::string> timeline = buildTimeline(_request, std::cin);
 	for (const std::string& line : timeline)
 	{
 		std::cout << line << "\n";
@@ -392,15 +392,15 @@
 	if (timeline.empty())
 	{
 		std::cerr << "roadferry: no line of the logs names " << _request << "\n";
-		return kRefused;
+		return kExitRefused;
 	}
-	return kOk;
+	return kExitOk;
 }
 
-int usage()
+int printUsage()
 {
 	std::cerr << kHelp;
-	return kUsage;
+	return kExitUsage;
 }
 
 int run(const std::vector<std::string>& _words)
@@ -410,59 +410,59 @@
 	if (is(0, "help") || is(0, "--help"))
 	{
 		std::cout << kHelp;
-		return kOk;
+		return kExitOk;
 	}
 	if (is(0, "settings") && is(1, "check"))
 	{
-		return settingsCheck();
+		return checkSettings();
 	}
 	if (is(0, "pipelines"))
 	{
-		return pipelines();
+		return printPipelines();
 	}
 	if (is(0, "endpoints"))
 	{
-		return show("endpoints", "endpoints",
-					{"id", "pool", "failure_domain", "address", "slots", "own", "others", "state"});
+		return printResource("endpoints", "endpoints",
+							 {"id", "pool", "failure_domain", "address", "slots", "own", "others", "state"});
 	}
 	if (is(0, "status"))
 	{
-		return show("status", nullptr, {});
+		return printResource("status", nullptr, {});
 	}
 	if (is(0, "drain"))
 	{
-		return exitOf(call("POST", "drain"));
+		return exitCodeOf(call("POST", "drain"));
 	}
 	if (is(0, "explain") && is(1, "logs") && _words.size() == 3)
 	{
-		return explainLogs(_words[2]);
+		return printTimeline(_words[2]);
 	}
 	if (is(0, "explain") && _words.size() == 2)
 	{
-		return show("requests/" + QUrl::toPercentEncoding(QString::fromStdString(_words[1])).toStdString(), nullptr,
-					{});
+		return printResource("requests/" + QUrl::toPercentEncoding(QString::fromStdString(_words[1])).toStdString(),
+							 nullptr, {});
 	}
 	if (!is(0, "table") || _words.size() < 2)
 	{
-		return usage();
+		return printUsage();
 	}
 	if (is(1, "get"))
 	{
-		return tableGet();
+		return printTable();
 	}
 	if (is(1, "history") || is(1, "watch"))
 	{
-		return tableHistory(is(1, "watch"));
+		return printHistory(is(1, "watch"));
 	}
 	if (is(1, "delete") && _words.size() == 4)
 	{
-		return tableDelete(_words[2], _words[3]);
+		return deleteRow(_words[2], _words[3]);
 	}
 	if ((is(1, "set") || is(1, "diff")) && _words.size() == 3)
 	{
-		return tableFile(_words[2], is(1, "set"));
+		return diffOrSetTable(_words[2], is(1, "set"));
 	}
-	return usage();
+	return printUsage();
 }
 
 } // namespace
--- a/tools/roadferry_standin.cpp
+++ b/tools/roadferry_standin.cpp
@@ -30,7 +30,7 @@
 namespace
 {
 
-constexpr std::size_t kLedgerSafeBody = 64 * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 
 /// Waits until the process is told to end.
 void waitForSignal()
@@ -52,11 +52,11 @@
 	pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-int report(const std::string& _fault, std::uint16_t _port)
+int serveUntilSignal(const std::string& _error, std::uint16_t _port)
 {
-	if (!_fault.empty())
+	if (!_error.empty())
 	{
-		std::cerr << "roadferry-standin: " << _fault << std::endl;
+		std::cerr << "roadferry-standin: " << _error << std::endl;
 		return 1;
 	}
 	std::cout << "listening " << FLAGS_ip << ":" << _port << std::endl;
@@ -68,10 +68,10 @@
 {
 	const std::vector<std::string> backends = absl::StrSplit(FLAGS_backends, ',', absl::SkipEmpty());
 	roadferry::StandinBalancer balancer(_pool, backends);
-	const std::string fault = balancer.listen(FLAGS_ip, static_cast<std::uint16_t>(FLAGS_port));
-	const int code = report(fault, fault.empty() ? balancer.port() : 0);
+	const std::string error = balancer.listen(FLAGS_ip, static_cast<std::uint16_t>(FLAGS_port));
+	const int exitCode = serveUntilSignal(error, error.empty() ? balancer.port() : 0);
 	_pool.stop();
-	return code;
+	return exitCode;
 }
 
 std::unique_ptr<roadferry::Standin> makeStandin(roadferry::IoPool& _pool)
@@ -82,8 +82,8 @@
 	settings.serviceMs = FLAGS_service_ms;
 	settings.tokenMs = FLAGS_token_ms;
 	settings.slots = FLAGS_slots;
-	settings.retain = FLAGS_retain;
-	settings.rate = FLAGS_rate;
+	settings.maxRecords = FLAGS_retain;
+	settings.appendsPerSecond = FLAGS_rate;
 	if (FLAGS_kind == "log")
 	{
 		return roadferry::makeLogStandin(_pool, settings);
@@ -121,13 +121,13 @@
 		return 2;
 	}
 	roadferry::HttpServerLimits limits;
-	limits.bodyBytes = kLedgerSafeBody;
+	limits.bodyBytes = kMaxBodyBytes;
 	roadferry::HttpServer server(
 		pool, limits, {},
 		[&standin](const roadferry::HttpRequest& _request, const std::shared_ptr<roadferry::HttpReply>& _reply)
 		{ standin->handle(_request, _reply); });
-	const std::string fault = server.listen(FLAGS_ip, static_cast<std::uint16_t>(FLAGS_port));
-	const int code = report(fault, server.port());
+	const std::string error = server.listen(FLAGS_ip, static_cast<std::uint16_t>(FLAGS_port));
+	const int exitCode = serveUntilSignal(error, server.port());
 	pool.stop();
-	return code;
+	return exitCode;
 }
--- a/tools/roadferryd.cpp
+++ b/tools/roadferryd.cpp
@@ -26,11 +26,11 @@
 namespace
 {
 
-constexpr int kSettingsFault = 2;
+constexpr int kExitInvalidSettings = 2;
 
 /// Blocks the signals of a planned stop in all threads.
 /// @returns Descriptor that becomes readable when one arrives.
-int openSignals()
+int openSignalFd()
 {
 	sigset_t signals;
 	sigemptyset(&signals);
@@ -51,10 +51,10 @@
 	return std::make_unique<roadferry::ForwardNode>(_settings);
 }
 
-void onSignal(roadferry::Daemon& _daemon, int _signals)
+void handleSignals(roadferry::Daemon& _daemon, int _signalFd)
 {
 	signalfd_siginfo signal{};
-	while (read(_signals, &signal, sizeof(signal)) == static_cast<ssize_t>(sizeof(signal)))
+	while (read(_signalFd, &signal, sizeof(signal)) == static_cast<ssize_t>(sizeof(signal)))
 	{
 		if (signal.ssi_signo == SIGHUP)
 		{
@@ -65,7 +65,7 @@
 	}
 }
 
-int run(const roadferry::Settings& _settings, int _signals)
+int run(const roadferry::Settings& _settings, int _signalFd)
 {
 	const std::unique_ptr<roadferry::Daemon> daemon = makeDaemon(_settings);
 	const absl::Status status = daemon->start([] { QCoreApplication::quit(); });
@@ -74,8 +74,8 @@
 		std::cerr << "roadferryd: " << status.message() << std::endl;
 		return 1;
 	}
-	QSocketNotifier notifier(_signals, QSocketNotifier::Read);
-	QObject::connect(&notifier, &QSocketNotifier::activated, [&] { onSignal(*daemon, _signals); });
+	QSocketNotifier notifier(_signalFd, QSocketNotifier::Read);
+	QObject::connect(&notifier, &QSocketNotifier::activated, [&] { handleSignals(*daemon, _signalFd); });
 	if (_settings.adapter.empty())
 	{
 		std::cout << "listening " << daemon->callerAddress() << " peer " << daemon->peerAddress() << std::endl;
@@ -87,17 +87,17 @@
 
 int main(int _argc, char** _argv)
 {
-	const int signals = openSignals();
+	const int signalFd = openSignalFd();
 	gflags::SetUsageMessage("serves multi-stage model pipelines; one daemon on each entry VM");
 	gflags::SetVersionString("0.1.0");
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	const auto settings = roadferry::readSettings();
-	const bool forwards = settings.ok() && !settings->adapter.empty();
-	roadferry::startLogging(forwards ? roadferry::LogStream::Output : roadferry::LogStream::Error);
+	const bool isForwarding = settings.ok() && !settings->adapter.empty();
+	roadferry::startLogging(isForwarding ? roadferry::LogStream::Output : roadferry::LogStream::Error);
 	if (!settings.ok())
 	{
 		std::cerr << settings.status().message() << std::endl;
-		return kSettingsFault;
+		return kExitInvalidSettings;
 	}
 	if (FLAGS_check_settings)
 	{
@@ -105,5 +105,5 @@
 		return 0;
 	}
 	QCoreApplication application(_argc, _argv);
-	return run(*settings, signals);
+	return run(*settings, signalFd);
 }
