--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the settings.
+/// Implementation of the daemon's settings.
 
 #include "settings.h"
 
@@ -25,41 +25,44 @@
 #include <set>
 #include <sstream>
 
-DEFINE_string(ip, "127.0.0.1", "IP number to listen on and to announce to other nodes");
-DEFINE_int32(port, 0, "port for callers and operators, 0 for one that is free (0 to 65535)");
-DEFINE_int32(peer_port, 0, "port for other nodes, 0 for one that is free (0 to 65535)");
-DEFINE_string(failure_domain, "", "failure domain that this VM is in");
+DEFINE_string(ip, "127.0.0.1", "IP address to listen on and to announce to other nodes");
+DEFINE_int32(port, 0, "port for callers and operators, 0 for any free port (0 to 65535)");
+DEFINE_int32(peer_port, 0, "port for other nodes, 0 for any free port (0 to 65535)");
+DEFINE_string(failure_domain, "", "failure domain of this VM");
 DEFINE_string(log_address, "", "IP:port of the platform's log service");
 DEFINE_string(vm_list_address, "", "IP:port of the platform's VM list");
-DEFINE_string(callers, "", "workspace=credential pairs parted by commas");
-DEFINE_string(operators, "", "name=credential pairs parted by commas");
-DEFINE_string(peer_secret, "", "credential that all nodes share (16 characters or more)");
-DEFINE_string(tls_certificate, "", "path of a PEM certificate chain; empty for no TLS");
-DEFINE_string(tls_key, "", "path of the PEM key of the certificate");
+DEFINE_string(callers, "", "comma-separated workspace=credential pairs");
+DEFINE_string(operators, "", "comma-separated name=credential pairs");
+DEFINE_string(peer_secret, "", "credential shared by all nodes (at least 16 characters)");
+DEFINE_string(tls_certificate, "", "path of a PEM certificate chain; empty to disable TLS");
+DEFINE_string(tls_key, "", "path of the certificate's private key in PEM format");
 DEFINE_int32(threads, 2, "traffic threads (1 to 64)");
 DEFINE_string(trace_file, "", "file to which spans are appended as OTLP JSON lines; empty for none");
-DEFINE_int32(drain_seconds, 30, "longest time that a planned stop waits for requests in flight (1 to 3600)");
-DEFINE_int32(answer_mb, 64, "memory for answers kept for a later question, in MB (1 to 1024)");
-DEFINE_int32(body_limit_kb, 4096, "largest body of a request in KB (1 to 65536)");
-DEFINE_int32(connections, 4096, "most open connections of callers (16 to 65536)");
-DEFINE_int32(request_timeout_ms, 10000, "time a caller has to send a request whole, in ms (100 to 600000)");
-DEFINE_string(adapter, "", "platform to forward requests on; empty for a node that issues tickets");
-DEFINE_string(settings, "", "file with further flags, one to a line; flags and environment win over it");
-DEFINE_string(listen, "", "IP:port for clients, in place of ip and port");
-DEFINE_string(peer_listen, "", "IP:port for other nodes, in place of ip and peer_port");
-DEFINE_string(peer_announce, "",
-			  "IP:port at which other nodes reach this one, where that is not the one it listens on");
-DEFINE_string(readiness_listen, "", "IP:port for readiness and metrics, of a node that forwards");
-DEFINE_string(feed_address, "", "IP:port of what tells of routes and endpoints, of a node that forwards");
-DEFINE_string(seeds, "", "IP:port of some other nodes, parted by commas, of a node that forwards");
-DEFINE_int32(changes_within_ms, 2000, "time in which a change of the routes has to be in force, in ms (500 to 60000)");
-DEFINE_int32(leaving_within_ms, 2000, "time in which no request goes to an endpoint that leaves, in ms (500 to 60000)");
-DEFINE_double(retry_slack, 20, "retries that all nodes together may make beyond retry_share (0 to 100000)");
-DEFINE_bool(shared_batches, true, "form batches of pieces together with the other nodes");
+DEFINE_int32(drain_seconds, 30,
+			 "maximum time that a planned stop waits for requests in flight, in seconds (1 to 3600)");
+DEFINE_int32(answer_mb, 64, "memory for results that are kept for later queries, in MB (1 to 1024)");
+DEFINE_int32(body_limit_kb, 4096, "maximum size of a request body, in KB (1 to 65536)");
+DEFINE_int32(connections, 4096, "maximum number of open caller connections (16 to 65536)");
+DEFINE_int32(request_timeout_ms, 10000,
+			 "time within which a caller must send a complete request, in ms (100 to 600000)");
+DEFINE_string(adapter, "", "platform adapter of a forwarding node; empty for a node that issues tickets");
+DEFINE_string(settings, "", "file with further flags, one per line; flags and environment variables take precedence");
+DEFINE_string(listen, "", "IP:port for clients; replaces ip and port");
+DEFINE_string(peer_listen, "", "IP:port for other nodes; replaces ip and peer_port");
+DEFINE_string(peer_announce, "", "IP:port announced to other nodes, if it differs from the listening address");
+DEFINE_string(readiness_listen, "", "IP:port for readiness and metrics of a forwarding node");
+DEFINE_string(feed_address, "", "IP:port of the service that publishes routes and endpoints to a forwarding node");
+DEFINE_string(seeds, "", "comma-separated IP:port of other nodes that a forwarding node joins");
+DEFINE_int32(changes_within_ms, 2000, "maximum time until a change of the routes takes effect, in ms (500 to 60000)");
+DEFINE_int32(leaving_within_ms, 2000,
+			 "maximum time until no more requests are sent to an endpoint that leaves, in ms (500 to 60000)");
+DEFINE_double(retry_slack, 20,
+			  "retries per window that all nodes together may make in addition to retry_share (0 to 100000)");
+DEFINE_bool(shared_batches, true, "batch the pieces of all nodes on one node per pool");
 DEFINE_string(placement, "affinity_gated", "placement policy");
-DEFINE_double(urgent_reserve, 0.1, "share of a pool's slots kept for urgent pipelines (0 to 0.9)");
-DEFINE_double(retry_share, 0.1, "retries earned by each first attempt (0 to 1)");
-DEFINE_int32(endpoints_per_pool, 256, "most endpoints of one pool that this node uses (8 to 10000)");
+DEFINE_double(urgent_reserve, 0.1, "share of a pool's slots reserved for urgent pipelines (0 to 0.9)");
+DEFINE_double(retry_share, 0.1, "retries allowed per first attempt (0 to 1)");
+DEFINE_int32(endpoints_per_pool, 256, "maximum number of endpoints per pool that this node uses (8 to 10000)");
 DEFINE_bool(admit_by_deadline, true, "refuse requests that are predicted to miss their deadline");
 
 namespace roadferry
@@ -72,10 +75,10 @@
 constexpr std::size_t kMinCredentialLength = 8;
 constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
 constexpr std::int64_t kMaxPort = 65'535;
-/// Endpoints that may be found unreachable before a request gives up, beyond its attempts.
+/// Failed connects per stage that do not count as attempts.
 constexpr std::int64_t kMaxExtraConnects = 3;
 
-/// Flags of this file; gflags knows others too, which are none of the daemon's settings.
+/// Names of the daemon's settings. gflags also registers flags of its own, which are not settings.
 const std::vector<std::string>& flagNames()
 {
 	static const std::vector<std::string> s_names = {"ip",
@@ -116,7 +119,7 @@
 	return s_names;
 }
 
-/// Flags whose value came from the settings file, which may change it again.
+/// Flags that were set from the settings file, which may set them again when it is read again.
 std::set<std::string>& flagsFromFile()
 {
 	static std::set<std::string> s_flags;
@@ -133,7 +136,7 @@
 	return _flag == "callers" || _flag == "operators" || _flag == "peer_secret";
 }
 
-/// Collects the errors of all settings.
+/// Checks values against their limits and collects the errors of all settings.
 class SettingsChecker
 {
 public:
@@ -167,7 +170,7 @@
 		const int port = isWellFormed ? std::atoi(parts[1].c_str()) : -1; // NOLINT(cert-err34-c): range is checked here
 		if (port < _minPort || port > kMaxPort)
 		{
-			this->addError(_flag, "an IP number and a port, as in 10.0.0.7:8500");
+			this->addError(_flag, "an IP address and a port, for example 10.0.0.7:8500");
 		}
 		return _value;
 	}
@@ -180,7 +183,7 @@
 			const std::pair<std::string, std::string> pair = absl::StrSplit(part, absl::MaxSplits('=', 1));
 			if (pair.first.empty() || pair.second.size() < kMinCredentialLength)
 			{
-				this->addError(_flag, "name=credential pairs, each credential of 8 characters or more");
+				this->addError(_flag, "name=credential pairs with credentials of at least 8 characters");
 				continue;
 			}
 			result.insert(pair);
@@ -192,7 +195,7 @@
 	{
 		if (!_path.empty() && !std::filesystem::exists(_path))
 		{
-			this->addError(_flag, "the path of a file that is there");
+			this->addError(_flag, "the path of an existing file");
 		}
 	}
 
@@ -204,7 +207,7 @@
 	std::vector<std::string> errors;
 };
 
-/// Takes each flag of the settings file that was not given otherwise.
+/// Applies the flags of the settings file that were not given as flags or environment variables.
 void applyFile(SettingsChecker& _checker, const std::string& _text)
 {
 	for (const auto line : absl::StrSplit(_text, '\n'))
@@ -219,7 +222,7 @@
 		const std::vector<std::string>& names = flagNames();
 		if (std::find(names.begin(), names.end(), pair.first) == names.end())
 		{
-			continue; // Of a later version, or another program's.
+			continue; // A flag of a later version or of another program.
 		}
 		gflags::CommandLineFlagInfo info;
 		const bool isFromFile = flagsFromFile().count(pair.first) > 0;
@@ -235,6 +238,7 @@
 	}
 }
 
+/// Applies the environment variables of the flags that were not given.
 void applyEnvironment(SettingsChecker& _checker)
 {
 	for (const std::string& name : flagNames())
@@ -264,7 +268,7 @@
 	_config.admitByDeadline = FLAGS_admit_by_deadline;
 }
 
-/// Puts an address of IP and port in place of the two flags for them.
+/// Overrides IP and port by a listening address, unless it is empty.
 void readListenAddress(SettingsChecker& _checker, const std::string& _flag, const std::string& _value, std::string& _ip,
 					   std::uint16_t& _port)
 {
@@ -343,13 +347,13 @@
 	settings.fileText = readSettingsFile();
 	if (!FLAGS_settings.empty() && settings.fileText.empty())
 	{
-		checker.addError("settings", "the path of a file that can be read");
+		checker.addError("settings", "the path of a readable file that is not empty");
 	}
 	applyFile(checker, settings.fileText);
 	settings.ip = FLAGS_ip;
 	if (QHostAddress(QString::fromStdString(FLAGS_ip)).isNull())
 	{
-		checker.addError("ip", "an IP number");
+		checker.addError("ip", "an IP address");
 	}
 	settings.port = static_cast<std::uint16_t>(checker.integer("port", FLAGS_port, 0, kMaxPort));
 	settings.peerPort = static_cast<std::uint16_t>(checker.integer("peer_port", FLAGS_peer_port, 0, kMaxPort));
@@ -368,14 +372,14 @@
 	settings.peerSecret = FLAGS_peer_secret;
 	if (FLAGS_peer_secret.size() < kMinSecretLength)
 	{
-		checker.addError("peer_secret", "16 characters or more");
+		checker.addError("peer_secret", "at least 16 characters long");
 	}
 	settings.tls = TlsFiles{FLAGS_tls_certificate, FLAGS_tls_key};
 	checker.requireFile("tls_certificate", FLAGS_tls_certificate);
 	checker.requireFile("tls_key", FLAGS_tls_key);
 	if (FLAGS_tls_certificate.empty() != FLAGS_tls_key.empty())
 	{
-		checker.addError("tls_key", "given together with tls_certificate, or neither");
+		checker.addError("tls_key", "given if and only if tls_certificate is given");
 	}
 	settings.threads = static_cast<std::size_t>(checker.integer("threads", FLAGS_threads, 1, 64));
 	settings.traceFile = FLAGS_trace_file;
--- a/src/settings.h
+++ b/src/settings.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Settings of the daemon, from flags and environment variables.
+/// Settings of the daemon, from flags, environment variables and the settings file.
 
 #ifndef ROADFERRY_SETTINGS_H_HEADER_GUARD
 #define ROADFERRY_SETTINGS_H_HEADER_GUARD
@@ -20,52 +20,55 @@
 namespace roadferry
 {
 
-/// Checked settings of one daemon.
+/// Validated settings of one daemon.
 struct Settings
 {
 	std::string ip;
 	std::uint16_t port = 0;
 	std::uint16_t peerPort = 0;
-	std::string peerAnnounce; ///< Address at which other nodes reach this one; empty for the one it listens on.
+	std::string peerAnnounce; ///< Address announced to other nodes; empty for the listening address.
 	std::string failureDomain;
 	std::string logAddress;
 	std::string vmListAddress;
-	std::map<std::string, std::string> callers;   ///< Credential by workspace.
-	std::map<std::string, std::string> operators; ///< Credential by operator's name.
+	std::map<std::string, std::string> callers;   ///< Credentials by workspace.
+	std::map<std::string, std::string> operators; ///< Credentials by operator name.
 	std::string peerSecret;
 	TlsFiles tls;
 	std::size_t threads = 2;
 	std::string traceFile;
 	std::int64_t drainSeconds = 30;
-	std::size_t resultCacheBytes = 64 * 1024 * 1024;
+	std::size_t resultCacheBytes = 64 * 1024 * 1024; ///< Memory for results that are kept for later queries.
 	HttpServerLimits http;
-	std::size_t endpointsPerPool = 256;
+	std::size_t endpointsPerPool = 256; ///< Maximum number of endpoints per pool that this node uses.
 	DispatcherConfig dispatcher;
 
-	// Of a node that forwards.
-	std::string adapter; ///< Name of the platform's adapter; empty for a node with tickets of its own.
+	// Of a forwarding node.
+	std::string adapter; ///< Name of the platform adapter; empty for a node that issues tickets.
 	std::uint16_t readinessPort = 0;
-	std::string feedAddress;                    ///< What tells of routes and endpoints.
-	std::vector<std::string> seeds;             ///< Addresses of some other nodes.
-	Micros maxRouteUpdateDelay = 2 * kSecond;   ///< In which a change of the routes has to be in force.
-	Micros maxEndpointLeaveDelay = 2 * kSecond; ///< In which requests to an endpoint that leaves have to end.
-	double retrySlack = 20;    ///< Retries that all nodes together may make beyond retry_share, in each window.
-	bool sharedBatches = true; ///< Whether nodes form batches together.
-	std::string fileText;      ///< Text of the settings file, empty when there is none.
+	std::string feedAddress;                  ///< Address of the service that publishes routes and endpoints.
+	std::vector<std::string> seeds;           ///< Addresses of other nodes, used to join the cluster.
+	Micros maxRouteUpdateDelay = 2 * kSecond; ///< Maximum time until a change of the routes takes effect.
+	/// Maximum time until no more requests are sent to an endpoint that leaves.
+	Micros maxEndpointLeaveDelay = 2 * kSecond;
+	double retrySlack = 20;    ///< Retries per window that all nodes together may make in addition to retry_share.
+	bool sharedBatches = true; ///< Whether a pool has one batching node, or each node batches its own pieces.
+	std::string fileText;      ///< Contents of the settings file; empty when there is none.
 };
 
-/// Reads the settings file, if one is named, and the flags, which gflags has parsed, after taking each one that was not
-/// given from the environment variable ROADFERRY_ with the flag's name in capitals.
-/// @returns The settings, or InvalidArgument that names every fault, one to a line.
+/// Reads the settings. A value given as a flag, which gflags has parsed, takes precedence over the environment variable
+/// of that flag (ROADFERRY_ and its name in capitals), and this over the settings file.
+/// @returns The settings, or InvalidArgument with one line for each error.
 absl::StatusOr<Settings> readSettings();
 
-/// Reads the settings file again, over the flags as they are.
+/// Reads the settings file again. Flags and environment variables keep their precedence over it.
+/// @returns As readSettings.
 absl::StatusOr<Settings> reloadSettings();
 
-/// @returns Text of the settings file, empty when none is named or it cannot be read.
+/// @returns Contents of the settings file; empty when none is given or it cannot be read.
 std::string readSettingsFile();
 
-/// @returns One line for each setting: name, value, default, description. Credentials are not shown.
+/// @returns One line for each setting, with name, value, default and description separated by tabs. Credentials are
+/// replaced by "(set)".
 std::string describeSettings();
 
 } // namespace roadferry
