--- a/src/log_timeline.cpp
+++ b/src/log_timeline.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the timeline of one request.
+/// Implementation of the request timeline.
 
 #include "log_timeline.h"
 
@@ -23,11 +23,11 @@
 namespace
 {
 
-/// A line of a log, taken apart.
+/// A parsed log line.
 struct LogLine
 {
 	std::string time;
-	std::string source; ///< Words before the JSON object, such as the node's name.
+	std::string source; ///< Last word before the JSON object, such as the node's name.
 	QJsonObject object;
 };
 
@@ -36,6 +36,7 @@
 	return _object.value(QLatin1String(_name)).toVariant().toString().toStdString();
 }
 
+/// @returns Whether the line contains a JSON object.
 bool parseLine(const std::string& _text, LogLine& _line)
 {
 	const std::size_t brace = _text.find('{');
@@ -52,7 +53,7 @@
 	return true;
 }
 
-/// Names a batch of one node.
+/// @returns Key of a batch. Batch numbers are unique only per node, so the key includes the source of the line.
 std::string batchKey(const LogLine& _line)
 {
 	return absl::StrCat(_line.source, "#", fieldOf(_line.object, "batch"));
@@ -60,6 +61,7 @@
 
 std::string formatLine(const LogLine& _line)
 {
+	// Three of these are printed first; the other two are omitted.
 	static const std::set<std::string> s_excludedFields = {"time", "part", "event", "level", "steady_ms"};
 	std::string text = absl::StrCat(_line.time, " ", _line.source, " ", fieldOf(_line.object, "part"), "/",
 									fieldOf(_line.object, "event"));
@@ -90,7 +92,7 @@
 		}
 		if (line.object.contains("batch") && fieldOf(line.object, "event") == "batch_started")
 		{
-			// Numbers begin anew with each start of a node.
+			// Batch numbers restart when a node restarts, so an earlier batch may have the same number.
 			batches.erase(batchKey(line));
 		}
 		if (namesRequest && line.object.contains("batch"))
--- a/src/log_timeline.h
+++ b/src/log_timeline.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Joins the log lines of several nodes into the timeline of one request.
+/// Merges the log lines of several nodes into the timeline of one request.
 
 #ifndef ROADFERRY_LOG_TIMELINE_H_HEADER_GUARD
 #define ROADFERRY_LOG_TIMELINE_H_HEADER_GUARD
@@ -16,9 +16,11 @@
 namespace roadferry
 {
 
-/// Reads log lines, with or without words of a log collector before the JSON object.
+/// Builds the timeline of a request.
 /// @param[in] _request Id of the request.
-/// @returns One line for each event that concerns it, in order of time: its own, and those of batches with its pieces.
+/// @param[in] _logs Log lines in JSON, each optionally preceded by a prefix that a log collector adds, such as the
+/// node's name.
+/// @returns One line for each event of the request and of the batches that contain its pieces, ordered by time.
 std::vector<std::string> buildTimeline(const std::string& _request, std::istream& _logs);
 
 } // namespace roadferry
--- a/src/logging.cpp
+++ b/src/logging.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the logs.
+/// Implementation of the structured logs.
 
 #include "logging.h"
 
@@ -29,14 +29,15 @@
 namespace
 {
 
-constexpr int kQueueLines = 4'096;        ///< Lines that may wait for the reader.
-constexpr double kLinesPerSecond = 1'000; ///< Sustained; more are left out and counted.
-constexpr double kBurstLines = 3'000;
+constexpr int kQueueLines = 4'096;        ///< Capacity of the queue to the writer thread, in lines.
+constexpr double kLinesPerSecond = 1'000; ///< Sustained rate; further lines are dropped and counted.
+constexpr double kBurstLines = 3'000;     ///< Lines that may exceed the sustained rate in a burst.
 
-/// Lets through so many lines a second.
+/// Token bucket that limits the rate of log lines. Thread-safe.
 class LineLimiter
 {
 public:
+	/// Takes one token, if there is one.
 	/// @returns Whether a line may be written.
 	bool tryAcquire()
 	{
@@ -71,6 +72,8 @@
 					   {"part", QString::fromStdString(_part)}};
 }
 
+/// Writes a line unless the rate limit drops it. Warnings and errors are never dropped. The first line after a drop
+/// carries the total number of dropped lines.
 void writeLine(const log4cxx::LevelPtr& _level, QJsonObject _line)
 {
 	static const log4cxx::LoggerPtr s_logger = log4cxx::Logger::getLogger("roadferry");
--- a/src/logging.h
+++ b/src/logging.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Logs: one JSON object to a line, through log4cxx. Lines wait in a bounded queue that another thread empties, so that
-/// a reader that does not read holds nobody up.
+/// Structured logs through log4cxx, one JSON object per line. A background thread writes the lines from a bounded
+/// queue, so that a slow or blocked reader of the output never blocks the threads that log.
 
 #ifndef ROADFERRY_LOGGING_H_HEADER_GUARD
 #define ROADFERRY_LOGGING_H_HEADER_GUARD
@@ -19,23 +19,24 @@
 namespace roadferry
 {
 
-/// Where lines go.
+/// Destination of the log lines.
 enum class LogStream
 {
 	Output, ///< Standard output.
 	Error   ///< Standard error.
 };
 
-/// Sets up the log. Call once, before any other function of this file.
+/// Configures logging. Must be called once, before any other function of this file.
 void startLogging(LogStream _stream);
 
-/// @returns Lines that were left out since the start, because too many came or nobody read them.
+/// @returns Number of lines that the rate limit has dropped since the start. Lines dropped because the queue was full
+/// are not included.
 std::uint64_t droppedLogLines();
 
-/// Value of a field of an event.
+/// Value of a log field.
 using LogValue = std::variant<std::string, std::int64_t, bool>;
 
-/// A named value.
+/// A named value of an event.
 struct LogField
 {
 	LogField(std::string _name, std::string _value) : name(std::move(_name)), value(std::move(_value))
@@ -50,7 +51,7 @@
 	{
 	}
 
-	/// Whole numbers of any type.
+	/// Integers of any type.
 	template<class Number, std::enable_if_t<std::is_integral_v<Number>, int> = 0>
 	LogField(std::string _name, Number _value) : name(std::move(_name)), value(static_cast<std::int64_t>(_value))
 	{
@@ -60,14 +61,15 @@
 	LogValue value;
 };
 
-/// Logs one decision as a JSON object.
-/// @param[in] _part Part of the program that speaks.
-/// @param[in] _event What happened, in snake case.
-/// @param[in] _fields What decided it, and the outcome; never credentials or bodies.
+/// Logs an event at level info.
+/// @param[in] _part Component that logs, for instance "control".
+/// @param[in] _event Name of the event, in snake case.
+/// @param[in] _fields Reasons for a decision and its outcome; never credentials or request bodies.
 void logEvent(const std::string& _part, const std::string& _event, const std::vector<LogField>& _fields);
 
-/// @param[in] _part Part of the program that speaks, for instance "control".
-/// @param[in] _message What happened; never with credentials or bodies.
+/// Logs a message as text.
+/// @param[in] _part Component that logs, for instance "control".
+/// @param[in] _message What happened; never contains credentials or request bodies.
 void logInfo(const std::string& _part, const std::string& _message);
 void logWarning(const std::string& _part, const std::string& _message);
 void logError(const std::string& _part, const std::string& _message);
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the metrics, on Boost.Accumulators.
+/// Implementation of the metrics with Boost.Accumulators.
 
 #include "metrics.h"
 
@@ -31,7 +31,7 @@
 
 constexpr std::array<double, 3> kQuantiles = {0.5, 0.95, 0.99};
 
-/// Sum, count and some quantiles of one series.
+/// Sum, count and estimated quantiles of one time series.
 struct Series
 {
 	Sum sum;
@@ -72,6 +72,7 @@
 
 } // namespace
 
+/// Maps are keyed by the labels of a series in the Prometheus text format.
 struct Metrics::Impl
 {
 	std::map<std::string, Series> requests;
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Metrics of a node, served as Prometheus text.
+/// Metrics of a node in the Prometheus text format.
 
 #ifndef ROADFERRY_METRICS_H_HEADER_GUARD
 #define ROADFERRY_METRICS_H_HEADER_GUARD
@@ -16,7 +16,7 @@
 namespace roadferry
 {
 
-/// Counts outcomes and times of requests and stages. Safe to call from any thread.
+/// Records outcomes and durations of requests and stages. Thread-safe.
 class Metrics
 {
 public:
@@ -25,14 +25,18 @@
 	Metrics(const Metrics&) = delete;
 	Metrics& operator=(const Metrics&) = delete;
 
-	/// @param[in] _seconds From arrival to outcome.
+	/// Records the outcome of a request.
+	/// @param[in] _seconds Time from arrival to outcome, in seconds.
 	void recordRequest(const std::string& _pipeline, const Outcome& _outcome, double _seconds);
 
-	/// @param[in] _seconds Time that the endpoint was held.
-	/// @param[in] _tokens Tokens generated.
+	/// Records a completed stage.
+	/// @param[in] _seconds Time that the stage occupied its endpoint, in seconds.
+	/// @param[in] _tokens Number of generated tokens.
 	void recordStage(const std::string& _pipeline, const std::string& _stage, double _seconds, std::int64_t _tokens);
 
-	/// @returns All metrics as Prometheus text.
+	/// @param[in] _counters Counters of the dispatcher, exported with the metrics recorded here.
+	/// @param[in] _inFlight Number of requests in flight.
+	/// @returns All metrics in the Prometheus text format.
 	[[nodiscard]] std::string toPrometheus(const DispatcherCounters& _counters, std::size_t _inFlight) const;
 
 private:
--- a/src/trace.cpp
+++ b/src/trace.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the spans.
+/// Implementation of tracing.
 
 #include "trace.h"
 
@@ -26,13 +26,14 @@
 
 constexpr std::size_t kTraceIdLength = 32;
 constexpr std::size_t kSpanIdLength = 16;
-constexpr int kStatusError = 2;
+constexpr int kStatusError = 2; ///< STATUS_CODE_ERROR of OTLP.
 
 std::string randomHex64()
 {
 	return absl::StrCat(absl::Hex(QRandomGenerator::global()->generate64(), absl::kZeroPad16));
 }
 
+/// @returns Whether a text is a valid id: lower-case hexadecimal digits that are not all zero.
 bool isHex(const std::string& _text, std::size_t _length)
 {
 	const auto hex = [](char _character)
--- a/src/trace.h
+++ b/src/trace.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Spans of requests, with W3C trace context, written as OTLP JSON.
+/// Distributed tracing: W3C trace context, and spans written as OTLP JSON.
 
 #ifndef ROADFERRY_TRACE_H_HEADER_GUARD
 #define ROADFERRY_TRACE_H_HEADER_GUARD
@@ -18,7 +18,7 @@
 namespace roadferry
 {
 
-/// Identity of a trace and of the span that is the parent of what comes next.
+/// Ids of a trace and of its current span, which is the parent of the next ones.
 struct TraceContext
 {
 	std::string traceId; ///< 32 hexadecimal digits.
@@ -26,14 +26,14 @@
 
 	bool operator==(const TraceContext&) const = default;
 
-	/// @returns Value of the header traceparent.
+	/// @returns Value of the traceparent header.
 	[[nodiscard]] std::string toTraceparent() const;
 };
 
-/// @returns The context of a traceparent header, or a new trace when the header is missing or malformed.
+/// @returns The context of a traceparent header, or a new trace without a span when the header is missing or malformed.
 TraceContext traceFromHeader(const std::string& _header);
 
-/// @returns A context of the same trace with a new span.
+/// @returns A context with the same trace and a new span id.
 TraceContext childOf(const TraceContext& _parent);
 
 /// One hop of a request.
@@ -42,19 +42,21 @@
 	TraceContext context;
 	std::string parentSpanId;
 	std::string name;
-	std::int64_t beginNs = 0; ///< Wall clock, nanoseconds since 1970.
+	std::int64_t beginNs = 0; ///< Wall-clock time, in nanoseconds since 1970.
 	std::int64_t endNs = 0;
 	bool failed = false;
 	std::map<std::string, std::string> attributes;
 };
 
-/// @returns Wall clock in nanoseconds since 1970.
+/// @returns Wall-clock time, in nanoseconds since 1970.
 std::int64_t wallNanoseconds();
 
-/// Appends spans to a file. Safe to call from any thread; does nothing when no file was given.
+/// Appends spans to a file, one JSON object per line. Thread-safe.
 class TraceWriter
 {
 public:
+	/// @param[in] _file Path of the file; empty to discard all spans.
+	/// @param[in] _instanceId Value of the resource attribute service.instance.id.
 	TraceWriter(const std::string& _file, std::string _instanceId);
 
 	void write(const Span& _span);
