--- a/src/standin_balancer.cpp
+++ b/src/standin_balancer.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the balancer's stand-in.
+/// Implementation of the load balancer's stand-in.
 
 #include "standin_balancer.h"
 
@@ -34,10 +34,10 @@
 	std::string address;
 	Tcp::endpoint endpoint;
 	bool healthy = false;
-	bool checkPending = false;
+	bool checkPending = false; ///< Whether a readiness probe is in progress.
 };
 
-/// Copies bytes both ways between a caller and a back end until either closes.
+/// Copies bytes in both directions between a caller and a backend until one of them closes its connection.
 class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection>
 {
 public:
@@ -161,6 +161,7 @@
 			});
 	}
 
+	/// Connects a caller to the next healthy backend, or closes its connection when there is none.
 	void proxy(Tcp::socket _socket)
 	{
 		for (std::size_t attempt = 0; attempt < this->backends.size(); ++attempt)
--- a/src/standin_balancer.h
+++ b/src/standin_balancer.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Stand-in for the platform's balancer: passes connections on to healthy back ends in turn.
+/// Stand-in for the platform's load balancer: proxies TCP connections to healthy backends in round-robin order.
 
 #ifndef ROADFERRY_STANDIN_BALANCER_H_HEADER_GUARD
 #define ROADFERRY_STANDIN_BALANCER_H_HEADER_GUARD
@@ -20,18 +20,19 @@
 namespace roadferry
 {
 
-/// Listens on one address. Asks each back end for /ready and passes no new connection to one that does not answer 200.
+/// Listens on one address and probes /ready of each backend. A backend that does not respond with status 200 gets no
+/// new connections.
 class StandinBalancer
 {
 public:
-	/// @param[in] _pool Pool of which thread 0 serves the balancer.
-	/// @param[in] _backends IP numbers and ports.
+	/// @param[in] _pool Thread pool; the balancer runs on thread 0.
+	/// @param[in] _backends Addresses of the backends as IP:port.
 	StandinBalancer(IoPool& _pool, std::vector<std::string> _backends);
 	~StandinBalancer();
 	StandinBalancer(const StandinBalancer&) = delete;
 	StandinBalancer& operator=(const StandinBalancer&) = delete;
 
-	/// @returns Empty on success, otherwise what went wrong.
+	/// @returns Empty on success, otherwise an error message.
 	std::string listen(const std::string& _ip, std::uint16_t _port);
 
 	[[nodiscard]] std::uint16_t port() const;
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -6,10 +6,12 @@
 /// @file
 /// Stand-in for encoders, retrievers, rerankers, plain services and engines.
 ///
-/// POST /v1/run with {"attempt", "request", "stage", "input", "max_tokens", "resume", "once"} runs one call. The output
-/// carries the marker of the input, so that a caller can tell whose answer it holds. An engine streams one event for
-/// each token. GET /ledger lists each effect that took place, GET /load the calls under way, POST /leave begins a
-/// leave.
+/// - POST /v1/run with {"attempt", "request", "stage", "input", "max_tokens", "resume", "once"} executes one call. The
+///   output contains the marker of the input, so that a test can match outputs with inputs. An engine streams one event
+///   per token.
+/// - GET /ledger lists the calls that were executed.
+/// - GET /load returns the numbers of running and queued calls, and whether the endpoint leaves.
+/// - POST /leave makes the endpoint report that it leaves.
 
 #include "standin.h"
 
@@ -25,7 +27,7 @@
 constexpr std::int64_t kMaxTokens = 100'000;
 constexpr std::size_t kMaxTextLength = 200;
 
-/// One call as it was received.
+/// A received call.
 struct Run
 {
 	std::string attempt;
@@ -33,7 +35,7 @@
 	std::string marker;
 	std::string stage;
 	std::int64_t tokens = 0;
-	std::int64_t position = 0; ///< Next token to send.
+	std::int64_t position = 0; ///< Index of the next token to send.
 	FaultMode fault = FaultMode::None;
 	std::shared_ptr<HttpReply> reply;
 	bool clientDisconnected = false;
@@ -49,7 +51,7 @@
 	return "data: " + toText(_object) + "\n\n";
 }
 
-/// All state is touched on thread 0 of the pool only.
+/// Runs on thread 0 of the pool only.
 class EndpointStandin final : public Standin
 {
 public:
@@ -120,6 +122,7 @@
 		this->admit(run);
 	}
 
+	/// Starts a call, or queues it when all slots are in use, unless a fault rejects it.
 	void admit(const std::shared_ptr<Run>& _run)
 	{
 		_run->fault = this->faults.takeFault();
@@ -163,6 +166,7 @@
 		this->pool.after(0, delay * kMicrosPerMillisecond, [this, _run] { this->respond(_run); });
 	}
 
+	/// Responds to the calls that FaultMode::Freeze has held back.
 	void releaseFrozen()
 	{
 		const auto runs = std::move(this->frozen);
@@ -173,6 +177,7 @@
 		}
 	}
 
+	/// Sends the response after the service time has passed.
 	void respond(const std::shared_ptr<Run>& _run)
 	{
 		if (_run->fault == FaultMode::DropResponse)
@@ -196,6 +201,7 @@
 		this->finish();
 	}
 
+	/// Sends the next token, or the end of the stream after the last one.
 	void stream(const std::shared_ptr<Run>& _run)
 	{
 		const bool isTruncated = _run->fault == FaultMode::TruncateStream && _run->position * 2 >= _run->tokens;
@@ -221,6 +227,7 @@
 		this->pool.after(0, this->settings.tokenMs * kMicrosPerMillisecond, [this, _run] { this->stream(_run); });
 	}
 
+	/// Frees the slot of a call and starts queued calls.
 	void finish()
 	{
 		this->running -= 1;
--- a/src/standin_fault.cpp
+++ b/src/standin_fault.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The fault interface of the stand-ins.
+/// Fault injection for the stand-ins.
 
 #include "standin.h"
 
@@ -67,7 +67,7 @@
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->mode = found->second;
 	this->slowMs = delayMs;
-	this->remaining = count == 0 ? -1 : count;
+	this->remaining = count == 0 ? -1 : count; // Without a count, the fault affects all requests.
 	return {};
 }
 
--- a/src/standin_log.cpp
+++ b/src/standin_log.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Stand-in for the platform's log: POST /append, GET /records?from=OFFSET. Offsets begin at 1.
+/// Stand-in for the platform's log service: POST /append and GET /records?from=OFFSET. The first offset is 1.
 
 #include "standin.h"
 
@@ -106,6 +106,8 @@
 		return this->firstOffset + static_cast<qint64>(this->records.size());
 	}
 
+	/// Counts one append against the rate limit, in windows of 1 s.
+	/// @returns Whether the append is within the limit.
 	bool admitAppend()
 	{
 		const auto now = std::chrono::steady_clock::now();
--- a/src/standin_vmlist.cpp
+++ b/src/standin_vmlist.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Stand-in for the platform's VM list: GET /vms, and PUT or DELETE /vms/ID to change it.
+/// Stand-in for the platform's VM list: GET /vms returns the list, PUT and DELETE /vms/ID change it.
 
 #include "standin.h"
 
@@ -53,7 +53,7 @@
 		{
 			this->published = this->current;
 		}
-		// A frozen list goes on answering with what it was.
+		// With FaultMode::Freeze, the response contains the list from before the fault.
 		QJsonArray array;
 		for (const auto& entry : this->published)
 		{
