--- a/tools/roadferry.cpp
+++ b/tools/roadferry.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// roadferry: the operator's command line.
+/// roadferry: the operator's command-line tool.
 
 #include "log_timeline.h"
 #include "row_csv.h"
@@ -26,8 +26,7 @@
 #include <sstream>
 
 DEFINE_string(node, "", "IP:port of any daemon (also ROADFERRY_NODE)");
-DEFINE_string(credential, "",
-			  "operator's credential (also ROADFERRY_CREDENTIAL, which does not show in process lists)");
+DEFINE_string(credential, "", "operator's credential (also ROADFERRY_CREDENTIAL, which process lists do not show)");
 DEFINE_bool(json, false, "print JSON instead of columns");
 
 namespace
@@ -36,47 +35,50 @@
 using namespace roadferry;
 
 constexpr int kExitOk = 0;
-constexpr int kExitRefused = 1; ///< The daemon refused: a conflict or a broken limit.
-constexpr int kExitUsage = 2;
-constexpr int kExitUnreachable = 3;
-constexpr int kExitOutcomeUnknown = 4; ///< The edit may take effect later.
-constexpr int kExitDiffers = 5;        ///< table diff found differences.
+constexpr int kExitRefused = 1;        ///< The request was refused (conflict or broken limit), or the input is invalid.
+constexpr int kExitUsage = 2;          ///< The command line is invalid.
+constexpr int kExitUnreachable = 3;    ///< The daemon did not respond.
+constexpr int kExitOutcomeUnknown = 4; ///< The outcome of an edit is unknown; it may take effect later.
+constexpr int kExitDiffers = 5;        ///< "table diff" found differences.
 constexpr int kTimeoutMs = 15'000;
 constexpr int kWatchPeriodMs = 500;
-constexpr unsigned kHttpOutcomeUnknown = 504;
+constexpr unsigned kHttpOutcomeUnknown = 504; ///< HTTP status of an edit whose outcome is unknown.
 
 constexpr const char* kHelp = R"(roadferry [--node=IP:PORT] [--credential=...] [--json] COMMAND
 
   table get              rows in force, as CSV (kind,name,field,value)
-  table diff FILE        what would change if FILE were set; exits with 5 when something would
-  table set FILE         set the rows of FILE (CSV or JSON edit) as one edit
+  table diff FILE        changes that table set FILE would make; exits with 5 if there are any
+  table set FILE         apply the rows of FILE (CSV, or an edit in JSON) as one edit
   table delete KIND NAME delete one row
-  table history          the latest edits: offset, author, outcome, rows
+  table history          latest edits: offset, author, outcome, rows
   table watch            print each new edit until interrupted
   pipelines              pipelines with stages, deadline and workspace
   endpoints              endpoints with pool, load and state
-  status                 the node: table, membership, shares, requests
-  drain                  planned stop of that node
-  explain REQUEST        what happened to a request, by its ticket
-  explain logs ID        the timeline of a forwarded request, from the nodes' log lines on standard input
-  settings check         check the daemon's settings given by flags and environment
+  status                 state of the node: table, membership, shares, requests
+  drain                  start a planned stop of the node
+  explain REQUEST        outcome of a request, by its ticket
+  explain logs ID        timeline of a forwarded request, from log lines of the nodes on standard input
+  settings check         check the daemon's settings from flags, environment and settings file
 
-exit codes: 0 done, 1 refused, 2 usage, 3 daemon not reached, 4 outcome of an edit unknown, 5 table diff found changes
+exit codes: 0 success, 1 refused, 2 usage, 3 daemon unreachable, 4 outcome of an edit unknown, 5 changes found
 )";
 
+/// Response of the daemon.
 struct Reply
 {
-	unsigned status = 0; ///< 0 when the daemon was not reached.
+	unsigned status = 0; ///< HTTP status; 0 when the daemon is unreachable.
 	QJsonObject json;
 	std::string text;
 };
 
+/// @returns The value of a flag, or that of an environment variable when the flag is empty.
 std::string flagOrEnvironment(const std::string& _flag, const char* _variable)
 {
 	const char* value = std::getenv(_variable);
 	return _flag.empty() && value != nullptr ? value : _flag;
 }
 
+/// Sends a request to the operator interface of the daemon and waits for the response.
 Reply call(const char* _method, const std::string& _path, const std::string& _body = {})
 {
 	QNetworkAccessManager network;
@@ -108,6 +110,7 @@
 	return (direct.isEmpty() ? _reply.json["error"]["message"].toString() : direct).toStdString();
 }
 
+/// @returns Exit code for a response. Prints the message of an error.
 int exitCodeOf(const Reply& _reply)
 {
 	if (_reply.status == 0)
@@ -122,7 +125,7 @@
 	return _reply.status == kHttpOutcomeUnknown ? kExitOutcomeUnknown : kExitRefused;
 }
 
-/// Prints a list of objects as aligned columns.
+/// Prints a list of objects in aligned columns.
 void printColumns(const QJsonArray& _list, const std::vector<const char*>& _columns)
 {
 	std::vector<std::vector<std::string>> lines = {{_columns.begin(), _columns.end()}};
@@ -154,14 +157,17 @@
 	}
 }
 
+/// @param[out] _exitCode Exit code for the response.
 absl::StatusOr<TableSnapshot> readTable(int& _exitCode)
 {
 	const Reply reply = call("GET", "table");
 	_exitCode = exitCodeOf(reply);
-	return _exitCode == kExitOk ? snapshotFromJson(reply.json) : absl::UnavailableError("table not read");
+	return _exitCode == kExitOk ? snapshotFromJson(reply.json) : absl::UnavailableError("table could not be read");
 }
 
-/// The edit that a file stands for, against the table as it is.
+/// Reads an edit from a file.
+/// @param[in] _file Edit in JSON if the name ends in .json, otherwise rows in CSV.
+/// @param[in] _table Current table, which the rows of a CSV file are compared with.
 absl::StatusOr<TableEdit> readEdit(const std::string& _file, const TableSnapshot& _table)
 {
 	std::ifstream stream(_file);
@@ -181,6 +187,7 @@
 	return rows.ok() ? absl::StatusOr<TableEdit>(editTowards(_table, *rows, id)) : rows.status();
 }
 
+/// Prints the fields that a change of a row modifies.
 void printChange(const TableSnapshot& _table, const RowChange& _change)
 {
 	const auto found = _table.rows.find(_change.key);
@@ -234,6 +241,7 @@
 	return exitCodeOf(reply);
 }
 
+/// @param[in] _send Whether to send the edit instead of printing its changes.
 int diffOrSetTable(const std::string& _file, bool _send)
 {
 	int exitCode = kExitOk;
@@ -294,7 +302,7 @@
 	std::cout << std::endl;
 }
 
-/// @param[in] _watch Whether to go on for ever.
+/// @param[in] _watch Whether to print new edits until the process is interrupted.
 int printHistory(bool _watch)
 {
 	std::int64_t lastOffset = 0;
@@ -353,6 +361,8 @@
 	return kExitOk;
 }
 
+/// Prints a resource of the operator interface.
+/// @param[in] _list Name of the list to print as columns, or null to print JSON.
 int printResource(const std::string& _path, const char* _list, const std::vector<const char*>& _columns)
 {
 	const Reply reply = call("GET", _path);
@@ -381,7 +391,7 @@
 	return kExitOk;
 }
 
-/// Joins the log lines on standard input into the timeline of one request.
+/// Prints the timeline of a request from the log lines on standard input.
 int printTimeline(const std::string& _request)
 {
 	const std::vector<std::string> timeline = buildTimeline(_request, std::cin);
@@ -391,7 +401,7 @@
 	}
 	if (timeline.empty())
 	{
-		std::cerr << "roadferry: no line of the logs names " << _request << "\n";
+		std::cerr << "roadferry: no log line mentions " << _request << "\n";
 		return kExitRefused;
 	}
 	return kExitOk;
--- a/tools/roadferry_standin.cpp
+++ b/tools/roadferry_standin.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// roadferry-standin: one process that takes the place of one system outside roadferry, for tests and the demo.
+/// roadferry-standin: stand-in for one external system, for tests and the demo.
 
 #include "standin.h"
 #include "standin_balancer.h"
@@ -18,21 +18,21 @@
 
 DEFINE_string(kind, "", "log, vmlist, balancer, engine, encoder, retriever, reranker or service");
 DEFINE_string(id, "", "name of this endpoint");
-DEFINE_string(ip, "127.0.0.1", "IP number to listen on");
-DEFINE_int32(port, 0, "port, 0 for one that is free");
-DEFINE_int64(service_ms, 5, "milliseconds that a call takes; for an engine the time to the first token");
-DEFINE_int64(token_ms, 1, "milliseconds between two tokens of an engine");
-DEFINE_int64(slots, 8, "calls that an endpoint runs at once");
-DEFINE_int64(retain, 0, "records that the log keeps, 0 for all");
-DEFINE_int64(rate, 100, "appends a second that the log takes");
-DEFINE_string(backends, "", "addresses that the balancer passes connections to, parted by commas");
+DEFINE_string(ip, "127.0.0.1", "IP address to listen on");
+DEFINE_int32(port, 0, "port to listen on, 0 for any free port");
+DEFINE_int64(service_ms, 5, "duration of a call, in ms; for an engine, the time to the first token");
+DEFINE_int64(token_ms, 1, "time between two tokens of an engine, in ms");
+DEFINE_int64(slots, 8, "maximum number of calls that an endpoint runs in parallel");
+DEFINE_int64(retain, 0, "records that the log retains, 0 for all");
+DEFINE_int64(rate, 100, "maximum number of appends per second to the log");
+DEFINE_string(backends, "", "comma-separated IP:port of the balancer's backends");
 
 namespace
 {
 
 constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 
-/// Waits until the process is told to end.
+/// Waits for SIGTERM or SIGINT.
 void waitForSignal()
 {
 	sigset_t signals;
@@ -43,6 +43,7 @@
 	sigwait(&signals, &received);
 }
 
+/// Blocks the signals that waitForSignal waits for. Must be called before any thread is started.
 void blockSignals()
 {
 	sigset_t signals;
@@ -52,6 +53,8 @@
 	pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
+/// Prints the listening address and waits for a signal, or prints the error of listening.
+/// @returns Exit code.
 int serveUntilSignal(const std::string& _error, std::uint16_t _port)
 {
 	if (!_error.empty())
@@ -104,7 +107,7 @@
 
 int main(int _argc, char** _argv)
 {
-	gflags::SetUsageMessage("takes the place of one system outside roadferry");
+	gflags::SetUsageMessage("stand-in for one external system");
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	blockSignals();
 	roadferry::IoPool pool(1);
--- a/tools/roadferryd.cpp
+++ b/tools/roadferryd.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// roadferryd: the daemon of one entry VM.
+/// roadferryd: the daemon that runs on each entry VM.
 
 #include "forward_node.h"
 #include "logging.h"
@@ -21,15 +21,16 @@
 #include <sys/signalfd.h>
 #include <unistd.h>
 
-DEFINE_bool(check_settings, false, "check the settings, print them and end");
+DEFINE_bool(check_settings, false, "check the settings, print them and exit");
 
 namespace
 {
 
 constexpr int kExitInvalidSettings = 2;
 
-/// Blocks the signals of a planned stop in all threads.
-/// @returns Descriptor that becomes readable when one arrives.
+/// Blocks SIGTERM and SIGINT, which start a planned stop, and SIGHUP, which reloads the settings, in all threads, and
+/// ignores SIGPIPE. Must be called before any thread is started.
+/// @returns File descriptor that becomes readable when one of them arrives.
 int openSignalFd()
 {
 	sigset_t signals;
@@ -88,7 +89,7 @@
 int main(int _argc, char** _argv)
 {
 	const int signalFd = openSignalFd();
-	gflags::SetUsageMessage("serves multi-stage model pipelines; one daemon on each entry VM");
+	gflags::SetUsageMessage("serves multi-stage model pipelines; one daemon runs on each entry VM");
 	gflags::SetVersionString("0.1.0");
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	const auto settings = roadferry::readSettings();
