--- a/tests/property.h
+++ b/tests/property.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Runs properties with rapidcheck under a fixed seed, so that each run sees the same histories.
+/// Runs property-based tests with rapidcheck. The seed is fixed, so that each run generates the same histories.
 
 #ifndef ROADFERRY_PROPERTY_H_HEADER_GUARD
 #define ROADFERRY_PROPERTY_H_HEADER_GUARD
@@ -19,14 +19,16 @@
 namespace roadferry
 {
 
-/// Histories run by each property; the environment variable ROADFERRY_HISTORIES makes it more.
+/// @returns Number of histories that each property is checked against: 1000, unless the environment variable
+/// ROADFERRY_HISTORIES gives another number.
 inline std::string historyCount()
 {
 	const char* given = std::getenv("ROADFERRY_HISTORIES");
 	return given == nullptr ? "1000" : given;
 }
 
-/// Checks a property over many random histories.
+/// Checks a property against historyCount() random histories, that is sequences of operations and faults.
+/// @param[in] _name Name of the property in failure messages.
 template<class Property>
 void checkHistories(const std::string& _name, Property _property)
 {
--- a/tests/test_logs.cpp
+++ b/tests/test_logs.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// Logs: bounded, never blocking, without credentials; and the timeline of one request out of several nodes' lines.
+/// Tests of logging, which is rate-limited and does not block, and of the timeline of one request from the logs of
+/// several nodes.
 
 #include "deployment.h"
 #include "log_timeline.h"
@@ -26,7 +27,7 @@
 
 constexpr int kManyLines = 20'000;
 
-/// Reads what is in a pipe without waiting for more.
+/// Reads the available contents of a non-blocking pipe.
 std::string drainPipe(int _descriptor)
 {
 	std::string text;
@@ -48,7 +49,7 @@
 	cr_assert_eq(pipe(pipes), 0);
 	const int output = dup(STDOUT_FILENO);
 	fflush(stdout);
-	dup2(pipes[1], STDOUT_FILENO); // Nobody reads: the pipe is full after 64 KB.
+	dup2(pipes[1], STDOUT_FILENO); // The pipe is not read yet and is full after 64 KB.
 	startLogging(LogStream::Output);
 	const auto begin = std::chrono::steady_clock::now();
 	for (int index = 0; index < kManyLines; ++index)
@@ -60,14 +61,14 @@
 	cr_expect_gt(droppedLogLines(), 10'000);
 	fcntl(pipes[0], F_SETFL, O_NONBLOCK);
 	std::string text;
-	Deployment::await("lines come once somebody reads",
+	Deployment::await("lines arrive once the pipe is read",
 					  [&]
 					  {
 						  text += drainPipe(pipes[0]);
 						  return absl::StrContains(text, "\"event\":\"line\"");
 					  });
 	dup2(output, STDOUT_FILENO);
-	// The process ends without waiting for the thread that may still write to the pipe.
+	// The process exits without waiting for the log thread, which may still write to the pipe.
 	close(pipes[0]);
 }
 
