--- a/include/roadferry/parts/endpoints.h
+++ b/include/roadferry/parts/endpoints.h
@@ -37,14 +37,14 @@
 {
 	/// After so long without news of the listing the platform may have been away, and entries may have lapsed
 	/// meanwhile: less than three of the reports that an endpoint writes each second or so.
-	Micros lapseAfter = 2 * kSecond;
+	Micros maxListingGap = 2 * kSecond;
 
 	/// How long after the listing's return a missing endpoint is kept: live ones list themselves again in this time.
 	Micros relistGrace = 2 * kSecond;
 
 	/// How long an entry of an earlier start, written behind that of a later one, is taken for a write that was held
 	/// up: the later start writes again in this time. After it the endpoint's clock must have been set back.
-	Micros earlierStartGrace = 3 * kSecond;
+	Micros olderInstanceGrace = 3 * kSecond;
 	bool operator==(const DirectoryConfig&) const = default;
 };
 
@@ -80,8 +80,8 @@
 struct ListingRead
 {
 	std::uint64_t position = 0; ///< Position in the platform's log behind what was read.
-	bool whole = false;         ///< Whether the changes are all entries there are.
-	Micros begunAt = 0;         ///< When it was begun.
+	bool isSnapshot = false;    ///< Whether the changes are all entries there are.
+	Micros asOf = 0;            ///< When it was begun.
 	std::vector<ListingChange> changes;
 	bool operator==(const ListingRead&) const = default;
 };
@@ -91,7 +91,7 @@
 {
 	std::uint64_t revision = 0;         ///< The directory's revision with these changes.
 	std::uint64_t position = 0;         ///< Position in the platform's log up to which the directory was read.
-	bool whole = false;                 ///< Whether the endpoints below are all there are.
+	bool isSnapshot = false;            ///< Whether the endpoints below are all there are.
 	std::vector<ListedEndpoint> listed; ///< Entries that are new or have changed.
 	std::vector<std::string> unlisted;  ///< Names of entries that have gone.
 	bool operator==(const DirectoryChanges&) const = default;
@@ -110,7 +110,7 @@
 
 	/// The listing was read up to its end, whether or not anything had changed.
 	/// @returns Whether anything changed here.
-	bool read(const ListingRead& _read, Micros _now);
+	bool applyRead(const ListingRead& _read, Micros _now);
 
 	/// Another node knows the endpoint to be leaving.
 	void markLeaving(const std::string& _id);
@@ -130,8 +130,8 @@
 	[[nodiscard]] DirectoryChanges changesSince(std::uint64_t _revision) const;
 
 	/// Merges the changes of another node's directory, which may have read less of the log or more.
-	/// @param[in] _knownAt Time point at which the other directory was complete.
-	void take(const DirectoryChanges& _changes, Micros _knownAt, Micros _now);
+	/// @param[in] _asOf Time point at which the other directory was complete.
+	void merge(const DirectoryChanges& _changes, Micros _asOf, Micros _now);
 
 	/// @returns Endpoints that were seen leaving or gone, for other nodes.
 	[[nodiscard]] const std::set<std::string>& leaving() const;
@@ -140,49 +140,49 @@
 	[[nodiscard]] bool differs(const ListedEndpoint& _listed) const;
 
 	/// @returns When the last reading of the listing was begun, 0 for never.
-	[[nodiscard]] Micros readAt() const;
+	[[nodiscard]] Micros ownReadAsOf() const;
 
 	/// @returns Time point at which this directory was complete, by readings and by news; 0 for never.
-	[[nodiscard]] Micros knownUpTo() const;
+	[[nodiscard]] Micros completeAsOf() const;
 
 	/// @returns Position in the platform's log up to which this directory is complete.
 	[[nodiscard]] std::uint64_t position() const;
 
 private:
 	/// An entry of an earlier start than the one that is held, and when it was read.
-	struct EarlierStart
+	struct OlderInstance
 	{
 		ListedEndpoint entry;
-		Micros since = 0;
+		Micros firstReadAt = 0;
 	};
 
-	[[nodiscard]] bool inDoubt(Micros _now) const;
-	void listed(const ListedEndpoint& _listed);
-	void unlisted(const UnlistedEndpoint& _gone, Micros _now);
-	[[nodiscard]] std::vector<UnlistedEndpoint> absentFrom(const std::set<std::string>& _present,
-														   std::uint64_t _position) const;
-	void dropUpTo(const UnlistedEndpoint& _gone);
-	void startOver();
+	[[nodiscard]] bool inRelistGrace(Micros _now) const;
+	void applyListed(const ListedEndpoint& _listed);
+	void applyUnlisted(const UnlistedEndpoint& _gone, Micros _now);
+	[[nodiscard]] std::vector<UnlistedEndpoint> entriesAbsentFrom(const std::set<std::string>& _present,
+																  std::uint64_t _position) const;
+	void dropIfOlder(const UnlistedEndpoint& _gone);
+	void resetPositions();
 	void advanceTo(std::uint64_t _position, Micros _now);
-	void noteKnown(Micros _knownAt, Micros _now);
-	void listedHere(const ListedEndpoint& _listed, Micros _now);
-	bool adoptEarlierStarts(Micros _now);
+	void advanceAsOf(Micros _asOf, Micros _now);
+	void applyReadEntry(const ListedEndpoint& _listed, Micros _now);
+	bool adoptOlderInstances(Micros _now);
 	void drop(const std::string& _name);
 
 	DirectoryConfig config;
-	std::map<std::string, ListedEndpoint> entries;   ///< By name.
-	std::uint64_t revision = 0;                      ///< Counts changes.
-	std::map<std::string, std::uint64_t> changedAt;  ///< Revision of each entry's last change.
-	std::map<std::uint64_t, std::string> unlistedAt; ///< Entries that went, the latest ones.
-	std::uint64_t forgottenUpTo = 0;                 ///< Entries that went up to this revision are not known any more.
+	std::map<std::string, ListedEndpoint> entries;           ///< By name.
+	std::uint64_t revision = 0;                              ///< Counts changes.
+	std::map<std::string, std::uint64_t> changeRevisions;    ///< Revision of each entry's last change.
+	std::map<std::uint64_t, std::string> unlistedByRevision; ///< Entries that went, the latest ones.
+	std::uint64_t prunedUpTo = 0;  ///< Entries that went up to this revision are not known any more.
 	std::set<std::string> missing; ///< Entries that have gone while in doubt, and are dropped with its end.
-	std::map<std::string, EarlierStart> earlierStarts; ///< By name.
-	std::set<std::string> left;                        ///< Endpoints that were seen leaving.
-	Micros lastRead = 0;
-	Micros knownAt = 0;         ///< Time point at which this directory was complete, 0 for never.
-	std::uint64_t readUpTo = 0; ///< Position up to which this directory is complete.
-	Micros advancedAt = 0;      ///< When that position was reached.
-	Micros doubtUntil = 0;      ///< Until then a missing entry may be one that lapsed while the listing was away.
+	std::map<std::string, OlderInstance> olderInstances; ///< By name.
+	std::set<std::string> leavingIds;                    ///< Endpoints that were seen leaving.
+	Micros lastReadAsOf = 0;
+	Micros asOf = 0;               ///< Time point at which this directory was complete, 0 for never.
+	std::uint64_t logPosition = 0; ///< Position up to which this directory is complete.
+	Micros positionAdvancedAt = 0; ///< When that position was reached.
+	Micros relistGraceEndsAt = 0;  ///< Until then a missing entry may be one that lapsed while the listing was away.
 };
 
 } // namespace roadferry
--- a/include/roadferry/parts/feed_relay.h
+++ b/include/roadferry/parts/feed_relay.h
@@ -22,50 +22,51 @@
 
 /// Asks a node that reads the platform's topics for what is new there. It answers as soon as there is something, or
 /// after a while that there is nothing; the next question tells it what has arrived.
-struct FeedAsk
+struct FeedRequest
 {
-	std::uint64_t version = 0;  ///< Version of the routes that the sender holds, 0 for none.
-	std::uint64_t source = 0;   ///< Directory whose revision the sender holds, 0 for none.
-	std::uint64_t revision = 0; ///< Of that directory.
-	Micros sentAt = 0;          ///< On the sender's clock; comes back with the answer.
-	bool operator==(const FeedAsk&) const = default;
+	std::uint64_t version = 0;     ///< Version of the routes that the sender holds, 0 for none.
+	std::uint64_t directoryId = 0; ///< Directory whose revision the sender holds, 0 for none.
+	std::uint64_t revision = 0;    ///< Of that directory.
+	Micros sentAt = 0;             ///< On the sender's clock; comes back with the answer.
+	bool operator==(const FeedRequest&) const = default;
 };
 
 /// What a node that reads the platform's topics holds beyond what was asked with.
-struct FeedNews
+struct FeedResponse
 {
-	std::string record;       ///< The routes as nodes pass them on; empty when the asker holds them.
-	std::uint64_t source = 0; ///< Random number of the sender's directory.
+	std::string record;            ///< The routes as nodes pass them on; empty when the asker holds them.
+	std::uint64_t directoryId = 0; ///< Random number of the sender's directory.
 	DirectoryChanges endpoints;
 	/// From when the sender began its last reading of both topics until the question came, negative when it read later;
 	/// nothing while it cannot read.
 	std::optional<Micros> age;
 	std::uint64_t version = 0; ///< Of the routes that the sender holds.
-	Micros answers = 0;        ///< When the question was sent, on the asker's clock.
-	bool operator==(const FeedNews&) const = default;
+	Micros requestSentAt = 0;  ///< When the question was sent, on the asker's clock.
+	bool operator==(const FeedResponse&) const = default;
 };
 
 /// Times and counts of a FeedRelay.
 struct FeedRelayConfig
 {
-	std::size_t eachReadsUpTo = 9;                   ///< Up to so many nodes each one reads for itself.
-	std::size_t readersLeast = 3;                    ///< One can be cut off and one die, and one is left.
-	Micros holdAsk = 200 * kMillisecond;             ///< How long a question waits for something new: the keepalive.
-	Micros askAgainAfter = 800 * kMillisecond;       ///< Without an answer.
-	Micros askPause = 50 * kMillisecond;             ///< At least, between two questions.
-	Micros staleAfter = 1'500 * kMillisecond;        ///< Changes have to be in force 2 s after the platform has them.
-	Micros routesWait = kSecond;                     ///< How long one reading of the routes waits for a change,
-	Micros routesWaitForOthers = 400 * kMillisecond; ///< and at a node that tells others: their news are no newer.
-	Micros avoidFor = 5 * kSecond;                   ///< A node whose news were stale is not asked.
-	Micros followerLife = 2'000 * kMillisecond;      ///< A node that does not ask any more gets no news.
+	std::size_t maxNodesAllReading = 9;            ///< Up to so many nodes each one reads for itself.
+	std::size_t minReaders = 3;                    ///< One can be cut off and one die, and one is left.
+	Micros maxRequestHold = 200 * kMillisecond;    ///< How long a question waits for something new: the keepalive.
+	Micros responseTimeout = 800 * kMillisecond;   ///< Without an answer.
+	Micros minRequestInterval = 50 * kMillisecond; ///< At least, between two questions.
+	Micros staleAfter = 1'500 * kMillisecond;      ///< Changes have to be in force 2 s after the platform has them.
+	Micros routesPollWait = kSecond;               ///< How long one reading of the routes waits for a change,
+	Micros routesPollWaitForFollowers =
+		400 * kMillisecond;                        ///< and at a node that tells others: their news are no newer.
+	Micros avoidFor = 5 * kSecond;                 ///< A node whose news were stale is not asked.
+	Micros followerTimeout = 2'000 * kMillisecond; ///< A node that does not ask any more gets no news.
 	bool operator==(const FeedRelayConfig&) const = default;
 };
 
 /// What a FeedRelay wants done.
 struct FeedRelayStep
 {
-	bool readOwn = true; ///< Whether this node reads the platform's topics itself.
-	std::string ask;     ///< Node to ask for news, empty for none now.
+	bool readsDirectly = true; ///< Whether this node reads the platform's topics itself.
+	std::string requestFrom;   ///< Node to ask for news, empty for none now.
 	bool operator==(const FeedRelayStep&) const = default;
 };
 
@@ -81,17 +82,17 @@
 	void setMembers(const std::vector<std::string>& _members);
 
 	/// News have come.
-	/// @param[in] _knownAt Time point of which they tell all, nothing when their sender cannot read the topics.
-	void heard(const std::string& _from, const std::optional<Micros>& _knownAt);
+	/// @param[in] _asOf Time point of which they tell all, nothing when their sender cannot read the topics.
+	void onResponse(const std::string& _from, const std::optional<Micros>& _asOf);
 
-	/// @param[in] _lost Whether this node cannot read the topics: then it asks, too, if it reads by its turn.
-	FeedRelayStep tick(Micros _now, bool _lost);
+	/// @param[in] _cannotRead Whether this node cannot read the topics: then it asks, too, if it reads by its turn.
+	FeedRelayStep tick(Micros _now, bool _cannotRead);
 
 	/// @returns Node to ask now, empty while an answer is due.
-	std::string dueAsk(Micros _now);
+	std::string startDueRequest(Micros _now);
 
 	/// @returns Whether the node that this one hears from said last that it cannot read the topics.
-	[[nodiscard]] bool sourceAway() const;
+	[[nodiscard]] bool sourceUnavailable() const;
 
 	/// @returns The node that this one hears from, empty while it reads by its own turn.
 	[[nodiscard]] const std::string& source() const;
@@ -103,16 +104,16 @@
 	FeedRelayConfig config;
 	std::vector<std::string> readers;         ///< Nodes that read by turn.
 	std::map<std::string, Micros> avoidUntil; ///< Nodes whose news were stale.
-	std::string from;
-	Micros followedAt = 0;         ///< When the source was chosen.
-	std::optional<Micros> knownAt; ///< Time point up to which all is known from other nodes.
-	std::optional<Micros> askedAt;
-	bool answered = false; ///< The last question.
-	bool told = true;      ///< The source's last answer said of what time its knowledge is.
+	std::string currentSource;
+	Micros sourceChosenAt = 0;  ///< When the source was chosen.
+	std::optional<Micros> asOf; ///< Time point up to which all is known from other nodes.
+	std::optional<Micros> requestedAt;
+	bool answered = false;     ///< The last question.
+	bool sourceCanRead = true; ///< The source's last answer said of what time its knowledge is.
 };
 
 /// @returns The nodes that read the platform's topics for all: the same on all nodes that see the same members.
-std::vector<std::string> feedReadersOf(const std::vector<std::string>& _members, const FeedRelayConfig& _config);
+std::vector<std::string> selectFeedReaders(const std::vector<std::string>& _members, const FeedRelayConfig& _config);
 
 } // namespace roadferry
 
--- a/include/roadferry/parts/routes.h
+++ b/include/roadferry/parts/routes.h
@@ -51,24 +51,24 @@
 	bool repeatable = false;         ///< May run more than once.
 	bool resumable = false;          ///< A stream may go on at another endpoint behind the last event.
 	bool anonymous = false;          ///< Needs no credential.
-	std::int64_t attempts = 1;       ///< Most endpoints that one request may be sent to.
+	std::int64_t maxAttempts = 1;    ///< Most endpoints that one request may be sent to.
 	std::int64_t priority = 5;       ///< 0 is the most urgent.
 	Micros timeLimit = 30 * kSecond; ///< From the request's arrival to its final answer.
-	Micros target = kSecond;         ///< Time to the answer, or to a stream's first event, that users are content with.
-	Micros pause = 0;                ///< Longest pause between two events of a stream that users are content with.
-	Micros eventPatience = 0;        ///< Clients leave a stream that sends nothing for so long; 0 when not told.
+	Micros latencyTarget = kSecond;  ///< Time to the answer, or to a stream's first event, that users are content with.
+	Micros eventIntervalTarget = 0;  ///< Longest pause between two events of a stream that users are content with.
+	Micros eventTimeout = 0;         ///< Clients leave a stream that sends nothing for so long; 0 when not told.
 	bool operator==(const Route&) const = default;
 };
 
 /// How endpoints of a pool make pieces.
 struct BatchLimits
 {
-	std::int64_t slots = 1;      ///< Calls that an endpoint works on at once.
-	std::int64_t batch = 1;      ///< Most pieces in one call.
-	Micros callTime = 0;         ///< Fixed part of a call.
-	Micros pieceTime = 0;        ///< Approximate part for each piece.
-	Micros resultLife = 0;       ///< How long an endpoint keeps a result that nobody frees.
-	std::int64_t resultRoom = 0; ///< Bytes for results at one endpoint.
+	std::int64_t slots = 1;               ///< Calls that an endpoint works on at once.
+	std::int64_t maxPieces = 1;           ///< Most pieces in one call.
+	Micros callTime = 0;                  ///< Fixed part of a call.
+	Micros pieceTime = 0;                 ///< Approximate part for each piece.
+	Micros resultTtl = 0;                 ///< How long an endpoint keeps a result that nobody frees.
+	std::int64_t resultCapacityBytes = 0; ///< Bytes for results at one endpoint.
 	bool operator==(const BatchLimits&) const = default;
 };
 
@@ -76,7 +76,7 @@
 struct PoolSpec
 {
 	std::string name;
-	std::int64_t connections = 0;       ///< Most connections that one endpoint takes from all callers, 0 when not told.
+	std::int64_t maxConnections = 0;    ///< Most connections that one endpoint takes from all callers, 0 when not told.
 	std::optional<BatchLimits> batches; ///< Set for pools whose endpoints make pieces.
 	bool operator==(const PoolSpec&) const = default;
 };
@@ -95,8 +95,8 @@
 {
 	std::int64_t headerBytes = 16 * 1024;
 	std::int64_t bodyBytes = 4 * 1024 * 1024;
-	Micros headerTime = 3 * kSecond; ///< To send a whole request head.
-	Micros idleTime = 15 * kSecond;  ///< That a kept connection may rest.
+	Micros headerTimeout = 3 * kSecond; ///< To send a whole request head.
+	Micros idleTimeout = 15 * kSecond;  ///< That a kept connection may rest.
 	bool operator==(const ClientLimits&) const = default;
 };
 
@@ -132,16 +132,16 @@
 	[[nodiscard]] const RoutePlanData& data() const;
 
 private:
-	RoutePlanData held;
+	RoutePlanData planData;
 	std::unordered_map<std::string, std::map<std::string, std::size_t, std::less<>>> routesByHost;
 	std::unordered_map<std::string, std::size_t> workspaceByCredential;
 	std::unordered_map<std::string, std::size_t> poolByName;
 };
 
 /// Chooses one of a route's pools by weight.
-/// @param[in] _draw Random number that decides.
+/// @param[in] _random Random number that decides.
 /// @returns Name of the pool, empty when the route has none.
-std::string drawPool(const Route& _route, std::uint64_t _draw);
+std::string choosePool(const Route& _route, std::uint64_t _random);
 
 } // namespace roadferry
 
--- a/src/batch_maker.cpp
+++ b/src/batch_maker.cpp
@@ -170,7 +170,7 @@
 
 bool BatchMaker::fits(const Pool& _pool, std::int64_t _used, const Waiting& _piece)
 {
-	const std::int64_t room = _pool.limits.resultRoom;
+	const std::int64_t room = _pool.limits.resultCapacityBytes;
 	const std::int64_t bytes = _piece.order.resultBytes;
 	if (room <= 0 || _used == 0)
 	{
@@ -194,7 +194,7 @@
 /// @returns Places in the queue of the pieces for one call: the most urgent ones whose results the endpoint can keep.
 std::vector<std::size_t> BatchMaker::choosePieces(const Pool& _pool, const Maker& _maker, Micros _now) const
 {
-	const auto most = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.batch));
+	const auto most = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.maxPieces));
 	std::vector<std::size_t> chosen;
 	std::int64_t used = _maker.roomUsed;
 	std::vector<bool> taken(_pool.queue.size(), false);
@@ -285,7 +285,7 @@
 	{
 		maker->second.roomUsed += _order.resultBytes;
 	}
-	const Micros life = this->pools[_call.pool].limits.resultLife;
+	const Micros life = this->pools[_call.pool].limits.resultTtl;
 	this->kept[_handle] = Kept{_call.endpoint.id, _order.resultBytes, _now + life};
 }
 
@@ -299,7 +299,7 @@
 	{
 		return;
 	}
-	const std::int64_t unknown = pool->second.limits.resultRoom - maker->second.roomUsed;
+	const std::int64_t unknown = pool->second.limits.resultCapacityBytes - maker->second.roomUsed;
 	if (unknown > 0)
 	{
 		maker->second.roomUsed += unknown;
@@ -549,8 +549,8 @@
 	}
 	std::sort(free.begin(), free.end());
 	// What the pool makes in a second, at least the part of its capacity that it reaches with short batches.
-	const Micros full = limits.callTime + limits.pieceTime * limits.batch;
-	const double nominal = static_cast<double>(limits.batch) * static_cast<double>(free.size()) *
+	const Micros full = limits.callTime + limits.pieceTime * limits.maxPieces;
+	const double nominal = static_cast<double>(limits.maxPieces) * static_cast<double>(free.size()) *
 						   static_cast<double>(kSecond) / static_cast<double>(full);
 	const double rate = std::max(found->second.rate, kLeastOfNominal * nominal);
 	const auto inTime = std::count_if(found->second.queue.begin(), found->second.queue.end(),
--- a/src/endpoint_directory.cpp
+++ b/src/endpoint_directory.cpp
@@ -16,7 +16,8 @@
 namespace
 {
 
-constexpr std::size_t kUnlistedKept = 1'000; ///< Some minutes of endpoints that go; whoever lacks more takes the whole.
+constexpr std::size_t kMaxUnlistedKept =
+	1'000; ///< Some minutes of endpoints that go; whoever lacks more takes the whole.
 
 } // namespace
 
@@ -24,26 +25,26 @@
 {
 }
 
-bool EndpointDirectory::inDoubt(Micros _now) const
+bool EndpointDirectory::inRelistGrace(Micros _now) const
 {
-	return _now < this->doubtUntil;
+	return _now < this->relistGraceEndsAt;
 }
 
 /// After a gap in what is known the listing may have been away.
-void EndpointDirectory::noteKnown(Micros _knownAt, Micros _now)
+void EndpointDirectory::advanceAsOf(Micros _asOf, Micros _now)
 {
-	if (this->knownAt > 0 && _knownAt - this->knownAt > this->config.lapseAfter)
+	if (this->asOf > 0 && _asOf - this->asOf > this->config.maxListingGap)
 	{
-		this->doubtUntil = _now + this->config.relistGrace;
+		this->relistGraceEndsAt = _now + this->config.relistGrace;
 	}
-	this->knownAt = std::max(this->knownAt, _knownAt);
+	this->asOf = std::max(this->asOf, _asOf);
 }
 
-void EndpointDirectory::listed(const ListedEndpoint& _listed)
+void EndpointDirectory::applyListed(const ListedEndpoint& _listed)
 {
 	const auto held = this->entries.find(_listed.name);
 	const bool isOlder =
-		held == this->entries.end() ? _listed.position < this->readUpTo : _listed.position < held->second.position;
+		held == this->entries.end() ? _listed.position < this->logPosition : _listed.position < held->second.position;
 	if (isOlder)
 	{
 		return;
@@ -55,14 +56,14 @@
 	}
 	if (_listed.endpoint.leaving)
 	{
-		this->left.insert(_listed.endpoint.id);
+		this->leavingIds.insert(_listed.endpoint.id);
 	}
 	ListedEndpoint updated = _listed;
-	updated.endpoint.leaving = this->left.count(_listed.endpoint.id) > 0;
+	updated.endpoint.leaving = this->leavingIds.count(_listed.endpoint.id) > 0;
 	if (this->differs(updated))
 	{
 		this->entries[_listed.name] = std::move(updated);
-		this->changedAt[_listed.name] = ++this->revision;
+		this->changeRevisions[_listed.name] = ++this->revision;
 	}
 	else if (isNewer)
 	{
@@ -80,12 +81,12 @@
 void EndpointDirectory::drop(const std::string& _name)
 {
 	this->entries.erase(_name);
-	this->changedAt.erase(_name);
-	this->unlistedAt.emplace(++this->revision, _name);
-	if (this->unlistedAt.size() > kUnlistedKept)
+	this->changeRevisions.erase(_name);
+	this->unlistedByRevision.emplace(++this->revision, _name);
+	if (this->unlistedByRevision.size() > kMaxUnlistedKept)
 	{
-		this->forgottenUpTo = this->unlistedAt.begin()->first;
-		this->unlistedAt.erase(this->unlistedAt.begin());
+		this->prunedUpTo = this->unlistedByRevision.begin()->first;
+		this->unlistedByRevision.erase(this->unlistedByRevision.begin());
 	}
 }
 
@@ -93,17 +94,18 @@
 {
 	DirectoryChanges changes;
 	changes.revision = this->revision;
-	changes.position = this->readUpTo;
-	changes.whole = _revision == 0 || _revision < this->forgottenUpTo || _revision > this->revision;
-	const std::uint64_t since = changes.whole ? 0 : _revision;
-	for (const auto& entry : this->changedAt)
+	changes.position = this->logPosition;
+	changes.isSnapshot = _revision == 0 || _revision < this->prunedUpTo || _revision > this->revision;
+	const std::uint64_t since = changes.isSnapshot ? 0 : _revision;
+	for (const auto& entry : this->changeRevisions)
 	{
 		if (entry.second > since)
 		{
 			changes.listed.push_back(this->entries.at(entry.first));
 		}
 	}
-	for (auto entry = this->unlistedAt.upper_bound(since); !changes.whole && entry != this->unlistedAt.end(); ++entry)
+	for (auto entry = this->unlistedByRevision.upper_bound(since);
+		 !changes.isSnapshot && entry != this->unlistedByRevision.end(); ++entry)
 	{
 		if (this->entries.count(entry->second) == 0)
 		{
@@ -113,32 +115,32 @@
 	return changes;
 }
 
-void EndpointDirectory::take(const DirectoryChanges& _changes, Micros _knownAt, Micros _now)
+void EndpointDirectory::merge(const DirectoryChanges& _changes, Micros _asOf, Micros _now)
 {
-	this->noteKnown(_knownAt, _now);
+	this->advanceAsOf(_asOf, _now);
 	std::set<std::string> present;
 	for (const ListedEndpoint& entry : _changes.listed)
 	{
 		present.insert(entry.name);
-		this->listed(entry);
+		this->applyListed(entry);
 	}
 	// The other node has waited for them to come back.
 	for (const std::string& name : _changes.unlisted)
 	{
-		this->dropUpTo(UnlistedEndpoint{name, _changes.position});
+		this->dropIfOlder(UnlistedEndpoint{name, _changes.position});
 	}
-	if (_changes.whole)
+	if (_changes.isSnapshot)
 	{
-		for (const UnlistedEndpoint& gone : this->absentFrom(present, _changes.position))
+		for (const UnlistedEndpoint& gone : this->entriesAbsentFrom(present, _changes.position))
 		{
-			this->dropUpTo(gone);
+			this->dropIfOlder(gone);
 		}
 	}
 	this->advanceTo(_changes.position, _now);
 }
 
 /// Drops an entry, unless a later one is held.
-void EndpointDirectory::dropUpTo(const UnlistedEndpoint& _gone)
+void EndpointDirectory::dropIfOlder(const UnlistedEndpoint& _gone)
 {
 	const auto held = this->entries.find(_gone.name);
 	if (held != this->entries.end() && held->second.position < _gone.position)
@@ -149,21 +151,21 @@
 }
 
 /// Drops an entry that has gone, or keeps it for a while where it may have lapsed.
-void EndpointDirectory::unlisted(const UnlistedEndpoint& _gone, Micros _now)
+void EndpointDirectory::applyUnlisted(const UnlistedEndpoint& _gone, Micros _now)
 {
 	const auto held = this->entries.find(_gone.name);
 	const bool applies = held != this->entries.end() && held->second.position < _gone.position;
-	if (applies && this->inDoubt(_now) && !held->second.endpoint.leaving)
+	if (applies && this->inRelistGrace(_now) && !held->second.endpoint.leaving)
 	{
 		this->missing.insert(_gone.name);
 		return;
 	}
-	this->dropUpTo(_gone);
+	this->dropIfOlder(_gone);
 }
 
 /// @returns Entries that are not in a listing of that position.
-std::vector<UnlistedEndpoint> EndpointDirectory::absentFrom(const std::set<std::string>& _present,
-															std::uint64_t _position) const
+std::vector<UnlistedEndpoint> EndpointDirectory::entriesAbsentFrom(const std::set<std::string>& _present,
+																   std::uint64_t _position) const
 {
 	std::vector<UnlistedEndpoint> absent;
 	for (const auto& entry : this->entries)
@@ -178,17 +180,17 @@
 
 void EndpointDirectory::advanceTo(std::uint64_t _position, Micros _now)
 {
-	if (_position > this->readUpTo)
+	if (_position > this->logPosition)
 	{
-		this->readUpTo = _position;
-		this->advancedAt = _now;
+		this->logPosition = _position;
+		this->positionAdvancedAt = _now;
 	}
 }
 
 /// The platform's log has begun anew: what is held is older than all that it has.
-void EndpointDirectory::startOver()
+void EndpointDirectory::resetPositions()
 {
-	this->readUpTo = 0;
+	this->logPosition = 0;
 	for (auto& entry : this->entries)
 	{
 		entry.second.position = 0;
@@ -197,27 +199,28 @@
 
 void EndpointDirectory::markLeaving(const std::string& _id)
 {
-	this->left.insert(_id);
+	this->leavingIds.insert(_id);
 	for (auto& entry : this->entries)
 	{
 		if (entry.second.endpoint.id == _id && !entry.second.endpoint.leaving)
 		{
 			entry.second.endpoint.leaving = true;
-			this->changedAt[entry.first] = ++this->revision;
+			this->changeRevisions[entry.first] = ++this->revision;
 		}
 	}
 }
 
-bool EndpointDirectory::read(const ListingRead& _read, Micros _now)
+bool EndpointDirectory::applyRead(const ListingRead& _read, Micros _now)
 {
 	const std::uint64_t before = this->revision;
-	this->noteKnown(_read.begunAt, _now);
-	this->lastRead = _read.begunAt;
+	this->advanceAsOf(_read.asOf, _now);
+	this->lastReadAsOf = _read.asOf;
 	// A reading that was begun before more was heard from another node is merged like any other.
-	const bool beganAnew = _read.whole && _read.position < this->readUpTo && _read.begunAt > this->advancedAt;
-	if (beganAnew)
+	const bool logRestarted =
+		_read.isSnapshot && _read.position < this->logPosition && _read.asOf > this->positionAdvancedAt;
+	if (logRestarted)
 	{
-		this->startOver();
+		this->resetPositions();
 	}
 	std::set<std::string> present;
 	for (const ListingChange& change : _read.changes)
@@ -225,25 +228,25 @@
 		std::visit(Overloaded{[&](const ListedEndpoint& _listed)
 							  {
 								  present.insert(_listed.name);
-								  this->listedHere(_listed, _now);
+								  this->applyReadEntry(_listed, _now);
 							  },
 							  [&](const UnlistedEndpoint& _gone)
 							  {
-								  this->earlierStarts.erase(_gone.name);
-								  this->unlisted(_gone, _now);
+								  this->olderInstances.erase(_gone.name);
+								  this->applyUnlisted(_gone, _now);
 							  },
 							  [&](const UnusableEntry& _entry)
 							  {
-								  this->earlierStarts.erase(_entry.name);
-								  this->dropUpTo(UnlistedEndpoint{_entry.name, _entry.position});
+								  this->olderInstances.erase(_entry.name);
+								  this->dropIfOlder(UnlistedEndpoint{_entry.name, _entry.position});
 							  }},
 				   change);
 	}
-	if (_read.whole)
+	if (_read.isSnapshot)
 	{
-		for (const UnlistedEndpoint& gone : this->absentFrom(present, _read.position))
+		for (const UnlistedEndpoint& gone : this->entriesAbsentFrom(present, _read.position))
 		{
-			this->unlisted(gone, _now);
+			this->applyUnlisted(gone, _now);
 		}
 	}
 	this->advanceTo(_read.position, _now);
@@ -252,43 +255,43 @@
 }
 
 /// Takes an entry that was read here. Starts of one endpoint are in the order of its clock, unless that was set back.
-void EndpointDirectory::listedHere(const ListedEndpoint& _listed, Micros _now)
+void EndpointDirectory::applyReadEntry(const ListedEndpoint& _listed, Micros _now)
 {
 	const auto held = this->entries.find(_listed.name);
-	const bool isEarlierStart = held != this->entries.end() && _listed.position > held->second.position &&
-								_listed.startedAt > 0 && _listed.startedAt < held->second.startedAt;
-	if (!isEarlierStart)
+	const bool isOlderInstance = held != this->entries.end() && _listed.position > held->second.position &&
+								 _listed.startedAt > 0 && _listed.startedAt < held->second.startedAt;
+	if (!isOlderInstance)
 	{
-		this->earlierStarts.erase(_listed.name);
-		this->listed(_listed);
+		this->olderInstances.erase(_listed.name);
+		this->applyListed(_listed);
 		return;
 	}
-	this->earlierStarts.try_emplace(_listed.name, EarlierStart{_listed, _now}).first->second.entry = _listed;
+	this->olderInstances.try_emplace(_listed.name, OlderInstance{_listed, _now}).first->second.entry = _listed;
 }
 
-bool EndpointDirectory::adoptEarlierStarts(Micros _now)
+bool EndpointDirectory::adoptOlderInstances(Micros _now)
 {
 	const std::uint64_t before = this->revision;
-	for (auto entry = this->earlierStarts.begin(); entry != this->earlierStarts.end();)
+	for (auto entry = this->olderInstances.begin(); entry != this->olderInstances.end();)
 	{
-		if (_now - entry->second.since < this->config.earlierStartGrace)
+		if (_now - entry->second.firstReadAt < this->config.olderInstanceGrace)
 		{
 			++entry;
 			continue;
 		}
 		if (this->entries.count(entry->first) > 0)
 		{
-			this->listed(entry->second.entry);
+			this->applyListed(entry->second.entry);
 		}
-		entry = this->earlierStarts.erase(entry);
+		entry = this->olderInstances.erase(entry);
 	}
 	return this->revision != before;
 }
 
 bool EndpointDirectory::expire(Micros _now)
 {
-	const bool adopted = this->adoptEarlierStarts(_now);
-	if (this->inDoubt(_now) || this->missing.empty())
+	const bool adopted = this->adoptOlderInstances(_now);
+	if (this->inRelistGrace(_now) || this->missing.empty())
 	{
 		return adopted;
 	}
@@ -313,17 +316,17 @@
 
 const std::set<std::string>& EndpointDirectory::leaving() const
 {
-	return this->left;
+	return this->leavingIds;
 }
 
-Micros EndpointDirectory::readAt() const
+Micros EndpointDirectory::ownReadAsOf() const
 {
-	return this->lastRead;
+	return this->lastReadAsOf;
 }
 
-Micros EndpointDirectory::knownUpTo() const
+Micros EndpointDirectory::completeAsOf() const
 {
-	return this->knownAt;
+	return this->asOf;
 }
 
 std::uint64_t EndpointDirectory::latestRevision() const
@@ -333,7 +336,7 @@
 
 std::uint64_t EndpointDirectory::position() const
 {
-	return this->readUpTo;
+	return this->logPosition;
 }
 
 } // namespace roadferry
--- a/src/feed_exchange.cpp
+++ b/src/feed_exchange.cpp
@@ -14,8 +14,9 @@
 namespace roadferry
 {
 
-FeedExchange::FeedExchange(std::string _self, FeedRelayConfig _relay, DirectoryConfig _directory, std::uint64_t _id)
-	: config(_relay), relay(std::move(_self), _relay), directory(_directory), id(_id)
+FeedExchange::FeedExchange(std::string _self, FeedRelayConfig _relay, DirectoryConfig _directory,
+						   std::uint64_t _directoryId)
+	: config(_relay), relay(std::move(_self), _relay), directory(_directory), directoryId(_directoryId)
 {
 }
 
@@ -27,13 +28,13 @@
 FeedActions FeedExchange::tick(Micros _now)
 {
 	FeedActions actions;
-	const FeedRelayStep step = this->relay.tick(_now, this->away());
-	if (step.readOwn != this->reading)
+	const FeedRelayStep step = this->relay.tick(_now, this->unavailable());
+	if (step.readsDirectly != this->reading)
 	{
-		this->reading = step.readOwn;
-		this->routesLost = false;
-		this->listingLost = false;
-		if (step.readOwn)
+		this->reading = step.readsDirectly;
+		this->routesReadFailed = false;
+		this->listingReadFailed = false;
+		if (step.readsDirectly)
 		{
 			actions.emplace_back(StartReading{});
 		}
@@ -42,217 +43,219 @@
 			actions.emplace_back(StopReading{});
 		}
 	}
-	if (!step.ask.empty())
+	if (!step.requestFrom.empty())
 	{
-		this->sendAsk(step.ask, _now, actions);
+		this->sendRequest(step.requestFrom, _now, actions);
 	}
-	if (!this->listingLost && this->directory.expire(_now))
+	if (!this->listingReadFailed && this->directory.expire(_now))
 	{
-		this->endpointsChanged(actions);
+		this->addEndpointsChanged(actions);
 	}
-	this->answerHeld(_now, actions);
+	this->answerOverdueRequests(_now, actions);
 	return actions;
 }
 
-void FeedExchange::sendAsk(const std::string& _to, Micros _now, FeedActions& _actions) const
+void FeedExchange::sendRequest(const std::string& _to, Micros _now, FeedActions& _actions) const
 {
-	_actions.emplace_back(SendFeedAsk{_to, FeedAsk{this->held.version, this->sourceId, this->sourceRevision, _now}});
+	_actions.emplace_back(
+		SendFeedRequest{_to, FeedRequest{this->currentRoutes.version, this->sourceId, this->sourceRevision, _now}});
 }
 
-FeedActions FeedExchange::ask(Micros _now)
+FeedActions FeedExchange::requestNext(Micros _now)
 {
 	FeedActions actions;
-	const std::string to = this->relay.dueAsk(_now);
+	const std::string to = this->relay.startDueRequest(_now);
 	if (!to.empty())
 	{
-		this->sendAsk(to, _now, actions);
+		this->sendRequest(to, _now, actions);
 	}
 	return actions;
 }
 
-FeedActions FeedExchange::onAsk(const std::string& _from, const FeedAsk& _ask, Micros _now)
+FeedActions FeedExchange::onFeedRequest(const std::string& _from, const FeedRequest& _request, Micros _now)
 {
 	FeedActions actions;
 	Follower& follower = this->followers[_from];
-	follower = Follower{_ask, _now, true};
-	if (this->hasNewsFor(follower))
+	follower = Follower{_request, _now, true};
+	if (this->hasChangesFor(follower))
 	{
-		this->answer(_from, follower, actions);
+		this->sendResponse(_from, follower, actions);
 	}
 	return actions;
 }
 
-bool FeedExchange::hasNewsFor(const Follower& _follower) const
+bool FeedExchange::hasChangesFor(const Follower& _follower) const
 {
-	const bool knowsListing =
-		_follower.asked.source == this->id && _follower.asked.revision == this->directory.latestRevision();
-	return this->held.version > _follower.asked.version || (this->reads() && !knowsListing);
+	const bool isUpToDate = _follower.request.directoryId == this->directoryId &&
+							_follower.request.revision == this->directory.latestRevision();
+	return this->currentRoutes.version > _follower.request.version || (this->readsPlatform() && !isUpToDate);
 }
 
 /// @returns Whether this node can say of what time its knowledge is.
-bool FeedExchange::reads() const
+bool FeedExchange::readsPlatform() const
 {
-	return this->reading && !this->routesLost && !this->listingLost && this->ready();
+	return this->reading && !this->routesReadFailed && !this->listingReadFailed && this->ready();
 }
 
-FeedNews FeedExchange::newsFor(const Follower& _follower) const
+FeedResponse FeedExchange::responseFor(const Follower& _follower) const
 {
-	FeedNews news;
-	news.source = this->id;
-	news.answers = _follower.asked.sentAt;
-	news.version = this->held.version;
-	if (this->held.version > _follower.asked.version)
+	FeedResponse response;
+	response.directoryId = this->directoryId;
+	response.requestSentAt = _follower.request.sentAt;
+	response.version = this->currentRoutes.version;
+	if (this->currentRoutes.version > _follower.request.version)
 	{
-		news.record = this->held.record;
+		response.record = this->currentRoutes.record;
 	}
-	if (this->reads())
+	if (this->readsPlatform())
 	{
-		news.age = _follower.cameAt - std::min(this->routesReadAt, this->directory.readAt());
-		news.endpoints =
-			this->directory.changesSince(_follower.asked.source == this->id ? _follower.asked.revision : 0);
+		response.age = _follower.receivedAt - std::min(this->ownRoutesAsOf, this->directory.ownReadAsOf());
+		response.endpoints = this->directory.changesSince(
+			_follower.request.directoryId == this->directoryId ? _follower.request.revision : 0);
 	}
-	return news;
+	return response;
 }
 
-void FeedExchange::answer(const std::string& _to, Follower& _follower, FeedActions& _actions) const
+void FeedExchange::sendResponse(const std::string& _to, Follower& _follower, FeedActions& _actions) const
 {
 	_follower.waiting = false;
-	_actions.emplace_back(SendFeedNews{_to, this->newsFor(_follower)});
+	_actions.emplace_back(SendFeedResponse{_to, this->responseFor(_follower)});
 }
 
 /// Passes on what is new as soon as it is known here, to nodes that have taken what they were told before: on a narrow
 /// link they get the newest, not each one in turn.
-void FeedExchange::tellFollowers(FeedActions& _actions)
+void FeedExchange::notifyFollowers(FeedActions& _actions)
 {
 	for (auto& entry : this->followers)
 	{
-		if (entry.second.waiting && this->hasNewsFor(entry.second))
+		if (entry.second.waiting && this->hasChangesFor(entry.second))
 		{
-			this->answer(entry.first, entry.second, _actions);
+			this->sendResponse(entry.first, entry.second, _actions);
 		}
 	}
 }
 
 /// Answers questions that have waited long enough, and forgets nodes that do not ask any more.
-void FeedExchange::answerHeld(Micros _now, FeedActions& _actions)
+void FeedExchange::answerOverdueRequests(Micros _now, FeedActions& _actions)
 {
 	std::erase_if(this->followers,
-				  [&](const auto& _entry) { return _now - _entry.second.cameAt > this->config.followerLife; });
+				  [&](const auto& _entry) { return _now - _entry.second.receivedAt > this->config.followerTimeout; });
 	for (auto& entry : this->followers)
 	{
-		if (entry.second.waiting && _now - entry.second.cameAt >= this->config.holdAsk)
+		if (entry.second.waiting && _now - entry.second.receivedAt >= this->config.maxRequestHold)
 		{
-			this->answer(entry.first, entry.second, _actions);
+			this->sendResponse(entry.first, entry.second, _actions);
 		}
 	}
 }
 
-void FeedExchange::endpointsChanged(FeedActions& _actions)
+void FeedExchange::addEndpointsChanged(FeedActions& _actions)
 {
 	_actions.emplace_back(EndpointsChanged{});
-	this->tellFollowers(_actions);
+	this->notifyFollowers(_actions);
 }
 
-FeedActions FeedExchange::onNews(const std::string& _from, const FeedNews& _news, Micros _now)
+FeedActions FeedExchange::onFeedResponse(const std::string& _from, const FeedResponse& _response, Micros _now)
 {
 	FeedActions actions;
 	if (_from != this->relay.source())
 	{
 		return actions; // Of a node that was asked before; the one that is asked now tells all of it.
 	}
-	if (!_news.record.empty())
+	if (!_response.record.empty())
 	{
-		actions.emplace_back(DecodeRoutes{_news.record, _from});
+		actions.emplace_back(DecodeRoutes{_response.record, _from});
 	}
 	// The sender's age was true after the question was sent: the way there and back counts as age, too.
-	const Micros asked = std::min(_news.answers, _now);
-	const std::optional<Micros> knownAt = _news.age ? std::optional(std::min(_now, asked - *_news.age)) : std::nullopt;
-	this->relay.heard(_from, knownAt);
-	if (knownAt)
+	const Micros sentAt = std::min(_response.requestSentAt, _now);
+	const std::optional<Micros> asOf =
+		_response.age ? std::optional(std::min(_now, sentAt - *_response.age)) : std::nullopt;
+	this->relay.onResponse(_from, asOf);
+	if (asOf)
 	{
-		this->routesKnownAt = std::max(this->routesKnownAt, *knownAt);
-		this->takeEndpoints(_news, *knownAt, _now, actions);
+		this->latestRoutesAsOf = std::max(this->latestRoutesAsOf, *asOf);
+		this->mergeEndpoints(_response, *asOf, _now, actions);
 	}
-	actions.emplace_back(AskNext{});
+	actions.emplace_back(RequestNext{});
 	return actions;
 }
 
-void FeedExchange::takeEndpoints(const FeedNews& _news, Micros _knownAt, Micros _now, FeedActions& _actions)
+void FeedExchange::mergeEndpoints(const FeedResponse& _response, Micros _asOf, Micros _now, FeedActions& _actions)
 {
-	this->sourceId = _news.source;
-	this->sourceRevision = _news.endpoints.revision;
+	this->sourceId = _response.directoryId;
+	this->sourceRevision = _response.endpoints.revision;
 	const std::uint64_t before = this->directory.latestRevision();
-	this->directory.take(_news.endpoints, _knownAt, _now);
+	this->directory.merge(_response.endpoints, _asOf, _now);
 	const bool first = !std::exchange(this->listingKnown, true);
 	if (first || this->directory.latestRevision() != before)
 	{
-		this->endpointsChanged(_actions);
+		this->addEndpointsChanged(_actions);
 	}
 }
 
-FeedActions FeedExchange::holdRoutes(HeldRoutes _routes)
+FeedActions FeedExchange::setRoutes(EncodedRoutes _routes)
 {
 	FeedActions actions;
-	this->held = std::move(_routes);
-	this->tellFollowers(actions);
+	this->currentRoutes = std::move(_routes);
+	this->notifyFollowers(actions);
 	return actions;
 }
 
-void FeedExchange::routesRead(Micros _knownAt)
+void FeedExchange::onRoutesRead(Micros _asOf)
 {
-	this->routesLost = false;
-	this->routesReadAt = _knownAt;
-	this->routesKnownAt = std::max(this->routesKnownAt, _knownAt);
+	this->routesReadFailed = false;
+	this->ownRoutesAsOf = _asOf;
+	this->latestRoutesAsOf = std::max(this->latestRoutesAsOf, _asOf);
 }
 
-FeedActions FeedExchange::endpointsRead(const ListingRead& _read, Micros _now)
+FeedActions FeedExchange::onEndpointsRead(const ListingRead& _read, Micros _now)
 {
 	FeedActions actions;
-	this->listingLost = false;
-	const bool changed = this->directory.read(_read, _now);
+	this->listingReadFailed = false;
+	const bool changed = this->directory.applyRead(_read, _now);
 	const bool first = !std::exchange(this->listingKnown, true);
 	if (first || changed)
 	{
-		this->endpointsChanged(actions);
+		this->addEndpointsChanged(actions);
 	}
 	return actions;
 }
 
-void FeedExchange::readingFailed(FeedTopic _topic)
+void FeedExchange::onReadFailed(FeedTopic _topic)
 {
-	(_topic == FeedTopic::Routes ? this->routesLost : this->listingLost) = true;
+	(_topic == FeedTopic::Routes ? this->routesReadFailed : this->listingReadFailed) = true;
 }
 
-FeedActions FeedExchange::learn(const std::vector<ListedEndpoint>& _endpoints, const std::vector<std::string>& _leaving,
-								Micros _now)
+FeedActions FeedExchange::mergePeerEndpoints(const std::vector<ListedEndpoint>& _endpoints,
+											 const std::vector<std::string>& _leaving, Micros _now)
 {
 	FeedActions actions;
 	if (!this->listingKnown && !_endpoints.empty())
 	{
 		this->listingKnown = true;
-		this->directory.take(DirectoryChanges{0, 0, false, _endpoints, {}}, 0, _now);
+		this->directory.merge(DirectoryChanges{0, 0, false, _endpoints, {}}, 0, _now);
 	}
 	for (const std::string& endpoint : _leaving)
 	{
 		this->directory.markLeaving(endpoint);
 	}
-	this->endpointsChanged(actions);
+	this->addEndpointsChanged(actions);
 	return actions;
 }
 
-Micros FeedExchange::routesWait() const
+Micros FeedExchange::routesPollWait() const
 {
-	return this->followers.empty() ? this->config.routesWait : this->config.routesWaitForOthers;
+	return this->followers.empty() ? this->config.routesPollWait : this->config.routesPollWaitForFollowers;
 }
 
 bool FeedExchange::ready() const
 {
-	return !this->held.record.empty() && this->listingKnown;
+	return !this->currentRoutes.record.empty() && this->listingKnown;
 }
 
-bool FeedExchange::away() const
+bool FeedExchange::unavailable() const
 {
-	return this->routesLost || this->listingLost || !this->ready();
+	return this->routesReadFailed || this->listingReadFailed || !this->ready();
 }
 
 const EndpointDirectory& FeedExchange::endpoints() const
@@ -260,9 +263,9 @@
 	return this->directory;
 }
 
-const HeldRoutes& FeedExchange::routes() const
+const EncodedRoutes& FeedExchange::routes() const
 {
-	return this->held;
+	return this->currentRoutes;
 }
 
 const std::string& FeedExchange::source() const
@@ -270,20 +273,21 @@
 	return this->relay.source();
 }
 
-FeedKnowledge FeedExchange::knowledge(Micros _now) const
+FeedFreshness FeedExchange::freshness(Micros _now) const
 {
-	const bool away = this->away() || this->relay.sourceAway();
-	return FeedKnowledge{this->routesKnownAt, this->directory.knownUpTo(), _now, this->relay.source(), away};
+	const bool unavailable = this->unavailable() || this->relay.sourceUnavailable();
+	return FeedFreshness{this->latestRoutesAsOf, this->directory.completeAsOf(), _now, this->relay.source(),
+						 unavailable};
 }
 
-bool mayHandle(const FeedKnowledge& _knowledge, Micros _now, Micros _lease)
+bool isFeedLeaseValid(const FeedFreshness& _freshness, Micros _now, Micros _lease)
 {
-	if (_knowledge.away)
+	if (_freshness.unavailable)
 	{
-		return _now - _knowledge.checkedAt <= _lease; // What is known holds, while somebody looks for more.
+		return _now - _freshness.checkedAt <= _lease; // What is known holds, while somebody looks for more.
 	}
-	const Micros knownAt = std::min(_knowledge.routesAt, _knowledge.listingAt);
-	return knownAt > 0 && _now - knownAt <= _lease;
+	const Micros asOf = std::min(_freshness.routesAsOf, _freshness.listingAsOf);
+	return asOf > 0 && _now - asOf <= _lease;
 }
 
 } // namespace roadferry
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -17,13 +17,13 @@
 namespace
 {
 
-constexpr Micros kFirstBackoff = 250 * kMillisecond;
-constexpr Micros kOldest = 1'500 * kMillisecond; ///< What is known gets about so old at most before the next answer.
-constexpr Micros kLeastWait = 200 * kMillisecond;
+constexpr Micros kInitialBackoff = 250 * kMillisecond;
+constexpr Micros kMaxAge = 1'500 * kMillisecond; ///< What is known gets about so old at most before the next answer.
+constexpr Micros kMinPollWait = 200 * kMillisecond;
 /// Beyond the wait, until a platform that has answered so far counts as lost: less than a request's lease is left then.
-constexpr Micros kPromptLimit = 800 * kMillisecond;
-constexpr Micros kPatientLimit = 1'500 * kMillisecond; ///< Of a platform that is lost: it may merely be slow.
-constexpr Micros kLongestBackoff = kSecond;            ///< Bounds how late the platform's return is noticed.
+constexpr Micros kResponseTimeout = 800 * kMillisecond;
+constexpr Micros kRecoveryTimeout = 1'500 * kMillisecond; ///< Of a platform that is lost: it may merely be slow.
+constexpr Micros kMaxBackoff = kSecond;                   ///< Bounds how late the platform's return is noticed.
 
 const char* nameOf(FeedTopic _topic)
 {
@@ -37,8 +37,8 @@
 
 } // namespace
 
-FeedLoop::FeedLoop(Feed& _feed, FeedTopic _topic, FeedPace _pace, FeedHandlers _handlers)
-	: feed(_feed), topic(_topic), pace(_pace), handlers(std::move(_handlers))
+FeedLoop::FeedLoop(Feed& _feed, FeedTopic _topic, FeedPollTiming _timing, FeedHandlers _handlers)
+	: feed(_feed), topic(_topic), timing(_timing), handlers(std::move(_handlers))
 {
 	this->timer.setSingleShot(true);
 	this->timer.setTimerType(Qt::PreciseTimer);
@@ -47,7 +47,7 @@
 
 void FeedLoop::start()
 {
-	this->turn += 1;
+	this->generation += 1;
 	this->position.reset();
 	this->backoff = 0;
 	this->read();
@@ -55,36 +55,36 @@
 
 void FeedLoop::stop()
 {
-	this->turn += 1;
+	this->generation += 1;
 	this->backoff = 0;
 	this->timer.stop();
 }
 
-void FeedLoop::setWait(Micros _wait)
+void FeedLoop::setPollWait(Micros _wait)
 {
-	this->pace.wait = _wait;
+	this->timing.pollWait = _wait;
 }
 
-bool FeedLoop::known() const
+bool FeedLoop::hasRead() const
 {
 	return this->everRead;
 }
 
-bool FeedLoop::lost() const
+bool FeedLoop::lastReadFailed() const
 {
 	return this->backoff > 0;
 }
 
 void FeedLoop::read()
 {
-	this->begunAt = monotonicNow();
-	const auto whenDone = [this, began = this->turn](bool _whole)
+	this->readStartedAt = monotonicNow();
+	const auto whenDone = [this, readGeneration = this->generation](bool _isSnapshot)
 	{
-		return [this, began, _whole](const absl::StatusOr<FeedPage>& _page)
+		return [this, readGeneration, _isSnapshot](const absl::StatusOr<FeedPage>& _page)
 		{
-			if (began == this->turn)
+			if (readGeneration == this->generation)
 			{
-				this->done(_page, _whole);
+				this->onReadDone(_page, _isSnapshot);
 			}
 		};
 	};
@@ -93,43 +93,43 @@
 		this->feed.readWhole(this->topic, whenDone(true));
 		return;
 	}
-	this->wait = this->waitNow();
-	const Micros limit = this->lost() ? kPatientLimit : kPromptLimit;
-	this->feed.readFrom(this->topic, *this->position, this->wait, limit, whenDone(false));
+	this->requestedWait = this->nextPollWait();
+	const Micros limit = this->lastReadFailed() ? kRecoveryTimeout : kResponseTimeout;
+	this->feed.readFrom(this->topic, *this->position, this->requestedWait, limit, whenDone(false));
 }
 
-Micros FeedLoop::waitNow() const
+Micros FeedLoop::nextPollWait() const
 {
-	if (this->lost())
+	if (this->lastReadFailed())
 	{
 		return 0; // An answer at once says sooner that the platform is back.
 	}
-	const Micros left = kOldest - (this->begunAt - this->knownAt);
-	return std::min(this->pace.wait, std::max(kLeastWait, left));
+	const Micros left = kMaxAge - (this->readStartedAt - this->asOf);
+	return std::min(this->timing.pollWait, std::max(kMinPollWait, left));
 }
 
-void FeedLoop::done(const absl::StatusOr<FeedPage>& _page, bool _whole)
+void FeedLoop::onReadDone(const absl::StatusOr<FeedPage>& _page, bool _isSnapshot)
 {
 	if (!_page.ok())
 	{
-		this->failed(_page.status());
+		this->onReadError(_page.status());
 		return;
 	}
-	if (this->lost())
+	if (this->lastReadFailed())
 	{
 		logEvent("feed", "regained", {{"topic", nameOf(this->topic)}});
 	}
 	this->backoff = 0;
 	this->everRead = true;
 	// Without anything new the platform answers only after the wait, and knows by then that there was nothing.
-	const bool nothingNew = !_whole && _page->next == this->position;
-	this->knownAt = this->begunAt + (nothingNew ? this->wait : 0);
+	const bool nothingNew = !_isSnapshot && _page->next == this->position;
+	this->asOf = this->readStartedAt + (nothingNew ? this->requestedWait : 0);
 	this->position = _page->next;
-	this->handlers.onRead(FeedReading{*_page, _whole, this->knownAt});
-	this->timer.start(toMs(this->pace.pause));
+	this->handlers.onRead(FeedReadResult{*_page, _isSnapshot, this->asOf});
+	this->timer.start(toMs(this->timing.pause));
 }
 
-void FeedLoop::failed(const absl::Status& _status)
+void FeedLoop::onReadError(const absl::Status& _status)
 {
 	if (absl::IsOutOfRange(_status))
 	{
@@ -138,15 +138,15 @@
 		this->timer.start(0);
 		return;
 	}
-	if (!this->lost())
+	if (!this->lastReadFailed())
 	{
 		logEvent("feed", "lost",
 				 {{"topic", nameOf(this->topic)},
 				  {"error", std::string(_status.message())},
-				  {"after_ms", (monotonicNow() - this->begunAt) / kMillisecond}});
+				  {"after_ms", (monotonicNow() - this->readStartedAt) / kMillisecond}});
 	}
 	this->handlers.onFailed();
-	this->backoff = this->lost() ? std::min(kLongestBackoff, this->backoff * 2) : kFirstBackoff;
+	this->backoff = this->lastReadFailed() ? std::min(kMaxBackoff, this->backoff * 2) : kInitialBackoff;
 	this->timer.start(toMs(this->backoff));
 }
 
--- a/src/feed_loop.h
+++ b/src/feed_loop.h
@@ -17,25 +17,25 @@
 {
 
 /// How often a topic is read.
-struct FeedPace
+struct FeedPollTiming
 {
-	Micros wait = 0;  ///< How long one reading waits for something new.
-	Micros pause = 0; ///< Between two readings.
-	bool operator==(const FeedPace&) const = default;
+	Micros pollWait = 0; ///< How long one reading waits for something new.
+	Micros pause = 0;    ///< Between two readings.
+	bool operator==(const FeedPollTiming&) const = default;
 };
 
 /// One reading of a topic that went well.
-struct FeedReading
+struct FeedReadResult
 {
 	FeedPage page;
-	bool whole = false; ///< Whether the page has all entries there are.
-	Micros knownAt = 0; ///< All changes before this time are known with it.
+	bool isSnapshot = false; ///< Whether the page has all entries there are.
+	Micros asOf = 0;         ///< All changes before this time are known with it.
 };
 
 /// What a loop tells. Called on the control thread.
 struct FeedHandlers
 {
-	std::function<void(const FeedReading& _reading)> onRead;
+	std::function<void(const FeedReadResult& _reading)> onRead;
 	std::function<void()> onFailed; ///< A reading went wrong; it is tried again.
 };
 
@@ -44,7 +44,7 @@
 class FeedLoop
 {
 public:
-	FeedLoop(Feed& _feed, FeedTopic _topic, FeedPace _pace, FeedHandlers _handlers);
+	FeedLoop(Feed& _feed, FeedTopic _topic, FeedPollTiming _timing, FeedHandlers _handlers);
 
 	/// Begins to read, from the whole of the topic.
 	void start();
@@ -53,32 +53,32 @@
 	void stop();
 
 	/// @param[in] _wait How long each reading from now on waits for something new.
-	void setWait(Micros _wait);
+	void setPollWait(Micros _wait);
 
 	/// @returns Whether the whole topic was read at least once.
-	[[nodiscard]] bool known() const;
+	[[nodiscard]] bool hasRead() const;
 
 	/// @returns Whether the last reading failed.
-	[[nodiscard]] bool lost() const;
+	[[nodiscard]] bool lastReadFailed() const;
 
 private:
 	void read();
-	[[nodiscard]] Micros waitNow() const;
-	void done(const absl::StatusOr<FeedPage>& _page, bool _whole);
-	void failed(const absl::Status& _status);
+	[[nodiscard]] Micros nextPollWait() const;
+	void onReadDone(const absl::StatusOr<FeedPage>& _page, bool _isSnapshot);
+	void onReadError(const absl::Status& _status);
 
 	Feed& feed;
 	FeedTopic topic;
-	FeedPace pace;
+	FeedPollTiming timing;
 	FeedHandlers handlers;
 	QTimer timer;
 	std::optional<std::uint64_t> position; ///< Nothing until the whole was read.
-	std::uint64_t turn = 0;                ///< Counts starts and stops; answers to earlier ones are dropped.
+	std::uint64_t generation = 0;          ///< Counts starts and stops; answers to earlier ones are dropped.
 	Micros backoff = 0;
 	bool everRead = false;
-	Micros begunAt = 0; ///< The reading under way.
-	Micros wait = 0;    ///< That it was asked to wait for something new.
-	Micros knownAt = 0; ///< Time point up to which everything was read, 0 for never.
+	Micros readStartedAt = 0; ///< The reading under way.
+	Micros requestedWait = 0; ///< That it was asked to wait for something new.
+	Micros asOf = 0;          ///< Time point up to which everything was read, 0 for never.
 };
 
 } // namespace roadferry
--- a/src/feed_record.cpp
+++ b/src/feed_record.cpp
@@ -17,20 +17,20 @@
 namespace
 {
 
-constexpr int kFastest = 1;                              ///< Compression level.
-constexpr std::size_t kSizeBytes = 4;                    ///< Of the unpacked size, which stands first.
-constexpr std::uint32_t kUnpackedMost = 8 * 1024 * 1024; ///< Bytes; the size is believed only up to here.
+constexpr int kCompressionLevel = 1;                         ///< Compression level.
+constexpr std::size_t kSizeHeaderBytes = 4;                  ///< Of the unpacked size, which stands first.
+constexpr std::uint32_t kMaxUnpackedBytes = 8 * 1024 * 1024; ///< Bytes; the size is believed only up to here.
 
 } // namespace
 
 std::string packRecord(const std::string& _record)
 {
-	return qCompress(QByteArray::fromStdString(_record), kFastest).toStdString();
+	return qCompress(QByteArray::fromStdString(_record), kCompressionLevel).toStdString();
 }
 
 absl::StatusOr<std::string> unpackRecord(const std::string& _packed)
 {
-	if (_packed.size() < kSizeBytes || qFromBigEndian<quint32>(_packed.data()) > kUnpackedMost)
+	if (_packed.size() < kSizeHeaderBytes || qFromBigEndian<quint32>(_packed.data()) > kMaxUnpackedBytes)
 	{
 		return absl::InvalidArgumentError("record: not packed, or larger than 8 MB");
 	}
--- a/src/feed_relay.cpp
+++ b/src/feed_relay.cpp
@@ -35,17 +35,17 @@
 
 } // namespace
 
-std::vector<std::string> feedReadersOf(const std::vector<std::string>& _members, const FeedRelayConfig& _config)
+std::vector<std::string> selectFeedReaders(const std::vector<std::string>& _members, const FeedRelayConfig& _config)
 {
 	std::vector<std::string> readers = _members;
-	if (readers.size() <= _config.eachReadsUpTo)
+	if (readers.size() <= _config.maxNodesAllReading)
 	{
 		return readers;
 	}
 	// Half of the root: the platform is asked little, and no reader has to tell very many.
 	const auto root = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(readers.size())) / 2));
 	sortByRank(readers, kReadersSeed);
-	readers.resize(std::max(_config.readersLeast, root));
+	readers.resize(std::max(_config.minReaders, root));
 	return readers;
 }
 
@@ -56,20 +56,20 @@
 
 void FeedRelay::setMembers(const std::vector<std::string>& _members)
 {
-	this->readers = feedReadersOf(_members, this->config);
+	this->readers = selectFeedReaders(_members, this->config);
 }
 
-void FeedRelay::heard(const std::string& _from, const std::optional<Micros>& _knownAt)
+void FeedRelay::onResponse(const std::string& _from, const std::optional<Micros>& _asOf)
 {
-	if (_from != this->from)
+	if (_from != this->currentSource)
 	{
 		return; // Of a node that was asked before.
 	}
 	this->answered = true;
-	this->told = _knownAt.has_value();
-	if (_knownAt)
+	this->sourceCanRead = _asOf.has_value();
+	if (_asOf)
 	{
-		this->knownAt = std::max(this->knownAt.value_or(*_knownAt), *_knownAt);
+		this->asOf = std::max(this->asOf.value_or(*_asOf), *_asOf);
 	}
 }
 
@@ -82,54 +82,54 @@
 				  { return _reader == this->self || this->avoidUntil.count(_reader) > 0; });
 	sortByRank(candidates, rankOf(this->self, kReadersSeed));
 	const std::string chosen = candidates.empty() ? std::string() : candidates.front();
-	if (chosen != this->from)
+	if (chosen != this->currentSource)
 	{
-		this->from = chosen;
-		this->told = true;
-		this->followedAt = _now;
-		this->askedAt.reset();
+		this->currentSource = chosen;
+		this->sourceCanRead = true;
+		this->sourceChosenAt = _now;
+		this->requestedAt.reset();
 	}
 }
 
-FeedRelayStep FeedRelay::tick(Micros _now, bool _lost)
+FeedRelayStep FeedRelay::tick(Micros _now, bool _cannotRead)
 {
-	const bool reads = std::find(this->readers.begin(), this->readers.end(), this->self) != this->readers.end();
-	if (reads && !_lost)
+	const bool isReader = std::find(this->readers.begin(), this->readers.end(), this->self) != this->readers.end();
+	if (isReader && !_cannotRead)
 	{
-		this->from.clear();
-		this->told = true;
-		this->knownAt.reset();
+		this->currentSource.clear();
+		this->sourceCanRead = true;
+		this->asOf.reset();
 		return FeedRelayStep{true, {}};
 	}
-	const bool fresh = this->knownAt && _now - *this->knownAt <= this->config.staleAfter;
-	if (!fresh && !this->from.empty() && _now - this->followedAt > this->config.staleAfter)
+	const bool fresh = this->asOf && _now - *this->asOf <= this->config.staleAfter;
+	if (!fresh && !this->currentSource.empty() && _now - this->sourceChosenAt > this->config.staleAfter)
 	{
-		this->avoidUntil[this->from] = _now + this->config.avoidFor;
+		this->avoidUntil[this->currentSource] = _now + this->config.avoidFor;
 	}
 	this->chooseSource(_now);
-	return FeedRelayStep{reads || !fresh, this->dueAsk(_now)};
+	return FeedRelayStep{isReader || !fresh, this->startDueRequest(_now)};
 }
 
-std::string FeedRelay::dueAsk(Micros _now)
+std::string FeedRelay::startDueRequest(Micros _now)
 {
-	const Micros pause = this->answered ? this->config.askPause : this->config.askAgainAfter;
-	if (this->from.empty() || (this->askedAt && _now - *this->askedAt < pause))
+	const Micros minDelay = this->answered ? this->config.minRequestInterval : this->config.responseTimeout;
+	if (this->currentSource.empty() || (this->requestedAt && _now - *this->requestedAt < minDelay))
 	{
 		return {};
 	}
-	this->askedAt = _now;
+	this->requestedAt = _now;
 	this->answered = false;
-	return this->from;
+	return this->currentSource;
 }
 
-bool FeedRelay::sourceAway() const
+bool FeedRelay::sourceUnavailable() const
 {
-	return !this->from.empty() && !this->told;
+	return !this->currentSource.empty() && !this->sourceCanRead;
 }
 
 const std::string& FeedRelay::source() const
 {
-	return this->from;
+	return this->currentSource;
 }
 
 } // namespace roadferry
--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -35,12 +35,12 @@
 							   std::function<void(const RoutePlan&)> _onPlan)
 	: feed(_feed), traffic(_traffic), settings(std::move(_settings)), send(std::move(_send)),
 	  onPlan(std::move(_onPlan)),
-	  routeLoop(_feed, FeedTopic::Routes, FeedPace{settings.relay.routesWait, 0},
-				FeedHandlers{[this](const FeedReading& _reading) { this->onRoutes(_reading); },
-							 [this] { this->exchange.readingFailed(FeedTopic::Routes); }}),
+	  routeLoop(_feed, FeedTopic::Routes, FeedPollTiming{settings.relay.routesPollWait, 0},
+				FeedHandlers{[this](const FeedReadResult& _reading) { this->onRoutes(_reading); },
+							 [this] { this->exchange.onReadFailed(FeedTopic::Routes); }}),
 	  endpointLoop(_feed, FeedTopic::Endpoints, settings.endpoints,
-				   FeedHandlers{[this](const FeedReading& _reading) { this->onEndpoints(_reading); },
-								[this] { this->exchange.readingFailed(FeedTopic::Endpoints); }}),
+				   FeedHandlers{[this](const FeedReadResult& _reading) { this->onEndpoints(_reading); },
+								[this] { this->exchange.onReadFailed(FeedTopic::Endpoints); }}),
 	  membership(settings.self, static_cast<std::uint64_t>(wallNanoseconds() / kNanosPerMicro), MembershipConfig{},
 				 randomNumber()),
 	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // CBOR's numbers have a sign.
@@ -67,10 +67,10 @@
 	{
 		std::visit(Overloaded{[&](const StartReading&) { this->startReading(); },
 							  [&](const StopReading&) { this->stopReading(); },
-							  [&](const SendFeedAsk& _ask) { this->send(_ask.to, _ask.message); },
-							  [&](const SendFeedNews& _news) { this->send(_news.to, _news.message); },
+							  [&](const SendFeedRequest& _ask) { this->send(_ask.to, _ask.message); },
+							  [&](const SendFeedResponse& _news) { this->send(_news.to, _news.message); },
 							  [&](const DecodeRoutes& _routes) { this->takeRecord(_routes.from, _routes.record); },
-							  [&](const AskNext&) { this->perform(this->exchange.ask(monotonicNow())); },
+							  [&](const RequestNext&) { this->perform(this->exchange.requestNext(monotonicNow())); },
 							  [&](const EndpointsChanged&) { this->publishEndpoints(); }},
 				   action);
 	}
@@ -79,7 +79,7 @@
 /// Tells the traffic how current what it was handed is; called when all of it was handed over.
 void ForwardControl::publishKnowledge()
 {
-	this->traffic.setKnowledge(this->exchange.knowledge(monotonicNow()));
+	this->traffic.setKnowledge(this->exchange.freshness(monotonicNow()));
 }
 
 void ForwardControl::startReading()
@@ -96,7 +96,7 @@
 	this->endpointLoop.stop();
 }
 
-void ForwardControl::onRoutes(const FeedReading& _reading)
+void ForwardControl::onRoutes(const FeedReadResult& _reading)
 {
 	for (const FeedChange& change : _reading.page.changes)
 	{
@@ -109,7 +109,7 @@
 			logEvent("control", "routes_unreadable", {{"name", fault->name}, {"fault", fault->fault}});
 		}
 	}
-	this->exchange.routesRead(_reading.knownAt);
+	this->exchange.onRoutesRead(_reading.asOf);
 	this->publishKnowledge();
 }
 
@@ -123,7 +123,7 @@
 	this->plan = _read.plan;
 	this->membership.setTableOffset(version);
 	this->traffic.setPlan(this->plan);
-	this->perform(this->exchange.holdRoutes(HeldRoutes{version, packRecord(_read.record)}));
+	this->perform(this->exchange.setRoutes(EncodedRoutes{version, packRecord(_read.record)}));
 	this->onPlan(*this->plan);
 	logEvent("control", "routes_in_force",
 			 {{"version", version},
@@ -148,9 +148,9 @@
 			  {"leaving", _listed.endpoint.leaving}});
 }
 
-void ForwardControl::onEndpoints(const FeedReading& _reading)
+void ForwardControl::onEndpoints(const FeedReadResult& _reading)
 {
-	ListingRead read{_reading.page.next, _reading.whole, _reading.knownAt, {}};
+	ListingRead read{_reading.page.next, _reading.isSnapshot, _reading.asOf, {}};
 	std::size_t unreadable = 0;
 	for (const FeedChange& change : _reading.page.changes)
 	{
@@ -183,7 +183,7 @@
 	{
 		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kUnreadableLogged}});
 	}
-	this->perform(this->exchange.endpointsRead(read, monotonicNow()));
+	this->perform(this->exchange.onEndpointsRead(read, monotonicNow()));
 	this->publishKnowledge();
 }
 
@@ -228,18 +228,18 @@
 	this->publishMembers();
 	this->perform(this->exchange.tick(now));
 	this->publishKnowledge();
-	this->routeLoop.setWait(this->exchange.routesWait());
+	this->routeLoop.setPollWait(this->exchange.routesPollWait());
 	this->askPeers(now);
 }
 
-void ForwardControl::onFeedAsk(const std::string& _peer, const FeedAsk& _ask)
+void ForwardControl::onFeedAsk(const std::string& _peer, const FeedRequest& _ask)
 {
-	this->perform(this->exchange.onAsk(_peer, _ask, monotonicNow()));
+	this->perform(this->exchange.onFeedRequest(_peer, _ask, monotonicNow()));
 }
 
 /// One line for all news that bring something: how old it is by its sender's word and by the way that it took, and
 /// whether it was known here already.
-void ForwardControl::logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const
+void ForwardControl::logNews(const std::string& _peer, const FeedResponse& _news, Micros _now) const
 {
 	const DirectoryChanges& endpoints = _news.endpoints;
 	if (_news.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
@@ -248,7 +248,7 @@
 	}
 	logEvent("feed", "news",
 			 {{"peer", _peer},
-			  {"since_asked_ms", (_now - _news.answers) / kMillisecond},
+			  {"since_asked_ms", (_now - _news.requestSentAt) / kMillisecond},
 			  {"read_ms_ago", _news.age ? *_news.age / kMillisecond : -1},
 			  {"record_bytes", _news.record.size()},
 			  {"version", _news.version},
@@ -257,18 +257,18 @@
 			  {"listing_held", this->exchange.endpoints().position()}});
 }
 
-void ForwardControl::onFeedNews(const std::string& _peer, const FeedNews& _news)
+void ForwardControl::onFeedNews(const std::string& _peer, const FeedResponse& _news)
 {
 	const Micros now = monotonicNow();
 	this->logNews(_peer, _news, now);
-	this->perform(this->exchange.onNews(_peer, _news, now));
+	this->perform(this->exchange.onFeedResponse(_peer, _news, now));
 	this->publishKnowledge();
 }
 
 /// While the platform is away, or has not answered yet, other nodes may know more.
 void ForwardControl::askPeers(Micros _now)
 {
-	if (!this->exchange.away() || _now < this->askAt)
+	if (!this->exchange.unavailable() || _now < this->askAt)
 	{
 		return;
 	}
@@ -289,7 +289,7 @@
 
 void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask)
 {
-	const HeldRoutes& routes = this->exchange.routes();
+	const EncodedRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
 	RoutesGive give;
 	if (routes.version > _ask.version)
@@ -329,7 +329,7 @@
 	{
 		this->takeRecord(_peer, _give.record);
 	}
-	this->perform(this->exchange.learn(_give.endpoints, _give.leaving, monotonicNow()));
+	this->perform(this->exchange.mergePeerEndpoints(_give.endpoints, _give.leaving, monotonicNow()));
 }
 
 void ForwardControl::carry(const std::vector<SendGossip>& _messages)
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -25,7 +25,7 @@
 	double retrySlack = 20;         ///< and beyond that, in each window.
 	DirectoryConfig directory;
 	FeedRelayConfig relay;
-	FeedPace endpoints{0, 600 * kMillisecond};
+	FeedPollTiming endpoints{0, 600 * kMillisecond};
 };
 
 /// Keeps routes, endpoints and members up to date, and hands immutable copies to the traffic.
@@ -43,8 +43,8 @@
 	void onGossip(const std::string& _peer, const Gossip& _message);
 	void onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask);
 	void onRoutesGive(const std::string& _peer, const RoutesGive& _give);
-	void onFeedAsk(const std::string& _peer, const FeedAsk& _ask);
-	void onFeedNews(const std::string& _peer, const FeedNews& _news);
+	void onFeedAsk(const std::string& _peer, const FeedRequest& _ask);
+	void onFeedNews(const std::string& _peer, const FeedResponse& _news);
 
 	/// Tells other nodes that this one leaves.
 	void leave();
@@ -56,10 +56,10 @@
 	void perform(const FeedActions& _actions);
 	void startReading();
 	void stopReading();
-	void onRoutes(const FeedReading& _reading);
-	void onEndpoints(const FeedReading& _reading);
+	void onRoutes(const FeedReadResult& _reading);
+	void onEndpoints(const FeedReadResult& _reading);
 	void logListed(const ListedEndpoint& _listed) const;
-	void logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const;
+	void logNews(const std::string& _peer, const FeedResponse& _news, Micros _now) const;
 	void takeRecord(const std::string& _peer, const std::string& _record);
 	void takePlan(const RoutesRead& _read, const std::string& _source);
 	void publishEndpoints();
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -156,9 +156,9 @@
 	HttpServerLimits http = this->settings.http;
 	http.headerBytes = static_cast<std::size_t>(limits.headerBytes);
 	http.bodyBytes = static_cast<std::size_t>(limits.bodyBytes);
-	http.headerTimeout = limits.headerTime;
+	http.headerTimeout = limits.headerTimeout;
 	http.requestTimeout = kBodyTime;
-	http.idleTimeout = limits.idleTime;
+	http.idleTimeout = limits.idleTimeout;
 	this->server->setLimits(http);
 }
 
@@ -198,9 +198,9 @@
 			{ onControl([this, _peer, _typed] { this->control->onRoutesAsk(_peer, _typed); }); },
 			[&](const RoutesGive& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onRoutesGive(_peer, _typed); }); },
-			[&](const FeedAsk& _typed)
+			[&](const FeedRequest& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
-			[&](const FeedNews& _typed)
+			[&](const FeedResponse& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onFeedNews(_peer, _typed); }); },
 			[&](const PieceAsk& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceGive& _typed) { this->traffic->receive(_peer, _typed); },
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -56,7 +56,7 @@
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
-	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
+	const Micros slack = _active.route.latencyTarget - staged.timeOfAll() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
 	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
 	// One that comes with less time than its route gives has most likely been turned away before: it is served.
@@ -127,7 +127,7 @@
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
 	order.deadline = std::min(_active.stagesUntil - stages, _active.giveUpAt - after);
-	order.due = _active.arrived + _active.route.target - after;
+	order.due = _active.arrived + _active.route.latencyTarget - after;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
 	order.nearDomain = this->domainFor(_active, _piece.stage);
@@ -210,7 +210,7 @@
 			  {"stage", piece.stage},
 			  {"piece", piece.piece},
 			  {"fault", std::string(nameOf(_failed.fault))}});
-	const bool inTime = monotonicNow() < active->arrived + active->route.target;
+	const bool inTime = monotonicNow() < active->arrived + active->route.latencyTarget;
 	if (_failed.fault == PieceFault::InputGone && active->remakes < kRemakesMost && inTime)
 	{
 		this->remake(active);
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -105,7 +105,7 @@
 					});
 }
 
-void ForwardTraffic::setKnowledge(const FeedKnowledge& _knowledge)
+void ForwardTraffic::setKnowledge(const FeedFreshness& _knowledge)
 {
 	this->pool.post(0, [this, _knowledge] { this->knowledge = _knowledge; });
 }
@@ -182,20 +182,21 @@
 	counters.retries = this->retryCount;
 	const Micros now = monotonicNow();
 	return absl::StrCat(this->metrics.text(counters, this->activeCount),
-						ageGauge("roadferry_routes_age_seconds", this->knowledge.routesAt, now),
-						ageGauge("roadferry_listing_age_seconds", this->knowledge.listingAt, now));
+						ageGauge("roadferry_routes_age_seconds", this->knowledge.routesAsOf, now),
+						ageGauge("roadferry_listing_age_seconds", this->knowledge.listingAsOf, now));
 }
 
 /// Age of the routes that a request is handled by; -1 while it is not known.
 LogField ForwardTraffic::routesAge(Micros _now) const
 {
-	return {"routes_age_ms", this->knowledge.routesAt == 0 ? -1 : (_now - this->knowledge.routesAt) / kMillisecond};
+	return {"routes_age_ms", this->knowledge.routesAsOf == 0 ? -1 : (_now - this->knowledge.routesAsOf) / kMillisecond};
 }
 
 /// Age of the listing that an endpoint is chosen from; -1 while it is not known.
 LogField ForwardTraffic::listingAge(Micros _now) const
 {
-	return {"listing_age_ms", this->knowledge.listingAt == 0 ? -1 : (_now - this->knowledge.listingAt) / kMillisecond};
+	return {"listing_age_ms",
+			this->knowledge.listingAsOf == 0 ? -1 : (_now - this->knowledge.listingAsOf) / kMillisecond};
 }
 
 void ForwardTraffic::refuse(const std::string& _id, const std::string& _target,
@@ -215,7 +216,7 @@
 
 bool ForwardTraffic::mayHandleNow() const
 {
-	return mayHandle(this->knowledge, monotonicNow(), this->lease);
+	return isFeedLeaseValid(this->knowledge, monotonicNow(), this->lease);
 }
 
 void ForwardTraffic::handle(HttpRequest _request, const std::shared_ptr<HttpReply>& _reply)
@@ -266,7 +267,7 @@
 	active->priority = workspace != nullptr ? workspace->priority.value_or(route->priority) : route->priority;
 	active->arrived = now;
 	active->giveUpAt = now + limit;
-	const Micros patience = route->eventPatience > 0 ? std::min(limit, route->eventPatience) : limit;
+	const Micros patience = route->eventTimeout > 0 ? std::min(limit, route->eventTimeout) : limit;
 	active->stagesUntil = now + static_cast<Micros>(kStagesShare * static_cast<double>(patience));
 	this->begin(active);
 }
@@ -283,7 +284,7 @@
 			  {"routes_version", _active->plan->data().version},
 			  this->routesAge(_active->arrived),
 			  {"patience_ms", (_active->giveUpAt - _active->arrived) / kMillisecond}});
-	_active->pool = drawPool(_active->route, XXH3_64bits(_active->request.id.data(), _active->request.id.size()));
+	_active->pool = choosePool(_active->route, XXH3_64bits(_active->request.id.data(), _active->request.id.size()));
 	_active->prefix = sharedPrefix(_active->request.prompt);
 	if (_active->prefix != 0)
 	{
@@ -337,8 +338,8 @@
 	stage.kind = route.streaming ? StageKind::Engine : StageKind::Service;
 	stage.pool = _active->pool;
 	stage.repeatable = route.repeatable;
-	stage.attempts = route.attempts - _active->attempts;
-	stage.expectedMs = std::max<std::int64_t>(1, route.target / kMillisecond / 2);
+	stage.attempts = route.maxAttempts - _active->attempts;
+	stage.expectedMs = std::max<std::int64_t>(1, route.latencyTarget / kMillisecond / 2);
 	this->perform(this->dispatcher.submit(spec, pipeline, {stage}, monotonicNow()));
 }
 
@@ -365,11 +366,11 @@
 
 std::size_t idleConnectionsOf(const PoolSpec* _pool, std::size_t _nodes)
 {
-	if (_pool == nullptr || _pool->connections <= 0)
+	if (_pool == nullptr || _pool->maxConnections <= 0)
 	{
 		return CallSpec{}.keepAtMost;
 	}
-	const double share = kIdleShare * static_cast<double>(_pool->connections) / static_cast<double>(_nodes);
+	const double share = kIdleShare * static_cast<double>(_pool->maxConnections) / static_cast<double>(_nodes);
 	return std::min(CallSpec{}.keepAtMost, static_cast<std::size_t>(share));
 }
 
@@ -460,7 +461,8 @@
 		return;
 	}
 	const bool mayRepeat = _active->route.repeatable || (head && head->notRun);
-	const bool possible = mayRepeat && _active->attempts < _active->route.attempts && _active->remakes < kRemakesMost;
+	const bool possible =
+		mayRepeat && _active->attempts < _active->route.maxAttempts && _active->remakes < kRemakesMost;
 	_active->submitted = !possible;
 	this->perform(possible ? this->dispatcher.cancel(_active->id, monotonicNow())
 						   : this->dispatcher.attemptEnded(_attempt, end, monotonicNow()));
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -57,7 +57,7 @@
 	/// @param[in] _position Position of the listing in the platform's log, for the logs.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
 	/// Call after setPlan and setEndpoints, of which it tells how current they are.
-	void setKnowledge(const FeedKnowledge& _knowledge);
+	void setKnowledge(const FeedFreshness& _knowledge);
 	void setMembers(const std::vector<std::string>& _members);
 	void setRetryBounds(double _share, double _burst);
 	void receive(const std::string& _from, const PieceMessage& _message);
@@ -130,7 +130,7 @@
 	Micros refuseFrom = 0;                         ///< Of a planned stop, 0 for none.
 	Micros stopEnd = 0;
 	std::uint64_t listing = 0; ///< Position of the listing in use.
-	FeedKnowledge knowledge;   ///< How current routes and endpoints are.
+	FeedFreshness knowledge;   ///< How current routes and endpoints are.
 	Micros tickedAt = 0;
 	std::uint64_t lastRequest = 0;
 	std::uint64_t lastOrder = 0;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -140,8 +140,8 @@
 			// Of nodes that forward; this kind of node takes no part.
 			[](const RoutesAsk&) {},
 			[](const RoutesGive&) {},
-			[](const FeedAsk&) {},
-			[](const FeedNews&) {},
+			[](const FeedRequest&) {},
+			[](const FeedResponse&) {},
 			[](const PieceAsk&) {},
 			[](const PieceGive&) {},
 			[](const PieceDrop&) {},
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -173,25 +173,25 @@
 					{"leaving", textArray(_message.leaving)}};
 }
 
-QCborMap toCbor(const FeedAsk& _message)
+QCborMap toCbor(const FeedRequest& _message)
 {
 	return QCborMap{{"type", "feed_ask"},
 					{"version", static_cast<qint64>(_message.version)},
-					{"source", static_cast<qint64>(_message.source)},
+					{"source", static_cast<qint64>(_message.directoryId)},
 					{"revision", static_cast<qint64>(_message.revision)},
 					{"sent_at", static_cast<qint64>(_message.sentAt)}};
 }
 
-QCborMap toCbor(const FeedNews& _message)
+QCborMap toCbor(const FeedResponse& _message)
 {
 	QCborMap map{{"type", "feed_news"},
 				 {"record", QByteArray::fromStdString(_message.record)},
-				 {"source", static_cast<qint64>(_message.source)},
+				 {"source", static_cast<qint64>(_message.directoryId)},
 				 {"version", static_cast<qint64>(_message.version)},
-				 {"answers", static_cast<qint64>(_message.answers)},
+				 {"answers", static_cast<qint64>(_message.requestSentAt)},
 				 {"revision", static_cast<qint64>(_message.endpoints.revision)},
 				 {"position", static_cast<qint64>(_message.endpoints.position)},
-				 {"whole", _message.endpoints.whole},
+				 {"whole", _message.endpoints.isSnapshot},
 				 {"listed", toCbor(_message.endpoints.listed)},
 				 {"unlisted", textArray(_message.endpoints.unlisted)}};
 	if (_message.age)
@@ -201,16 +201,16 @@
 	return map;
 }
 
-FeedNews readFeedNews(CborReader& _reader)
+FeedResponse readFeedNews(CborReader& _reader)
 {
-	FeedNews message;
+	FeedResponse message;
 	message.record = _reader.bytes("record");
-	message.source = _reader.natural("source");
+	message.directoryId = _reader.natural("source");
 	message.version = _reader.natural("version");
-	message.answers = _reader.integer("answers");
+	message.requestSentAt = _reader.integer("answers");
 	message.endpoints.revision = _reader.natural("revision");
 	message.endpoints.position = _reader.natural("position");
-	message.endpoints.whole = _reader.boolean("whole");
+	message.endpoints.isSnapshot = _reader.boolean("whole");
 	message.endpoints.listed = readEndpoints(_reader, "listed");
 	message.endpoints.unlisted = _reader.texts("unlisted");
 	if (!_reader.value("age").isUndefined())
@@ -324,8 +324,8 @@
 	}
 	if (_type == "feed_ask")
 	{
-		return FeedAsk{_reader.natural("version"), _reader.natural("source"), _reader.natural("revision"),
-					   _reader.integer("sent_at")};
+		return FeedRequest{_reader.natural("version"), _reader.natural("source"), _reader.natural("revision"),
+						   _reader.integer("sent_at")};
 	}
 	if (_type == "feed_news")
 	{
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -93,8 +93,8 @@
 };
 
 using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord, Farewell,
-								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedAsk, FeedNews, PieceAsk,
-								 PieceGive, PieceDrop, PieceFree>;
+								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedRequest, FeedResponse,
+								 PieceAsk, PieceGive, PieceDrop, PieceFree>;
 
 /// @returns The message as CBOR.
 std::string encode(const PeerMessage& _message);
--- a/src/routes.cpp
+++ b/src/routes.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr double kDrawRange = 18446744073709551616.0; ///< 2 to the 64th.
+constexpr double kRandomRange = 18446744073709551616.0; ///< 2 to the 64th.
 
 std::string hostName(std::string_view _host)
 {
@@ -30,23 +30,23 @@
 
 } // namespace
 
-RoutePlan::RoutePlan(RoutePlanData _data) : held(std::move(_data))
+RoutePlan::RoutePlan(RoutePlanData _data) : planData(std::move(_data))
 {
-	for (std::size_t index = 0; index < this->held.routes.size(); ++index)
+	for (std::size_t index = 0; index < this->planData.routes.size(); ++index)
 	{
-		const Route& route = this->held.routes[index];
+		const Route& route = this->planData.routes[index];
 		this->routesByHost[hostName(route.host)].emplace(route.pathPrefix, index);
 	}
-	for (std::size_t index = 0; index < this->held.workspaces.size(); ++index)
+	for (std::size_t index = 0; index < this->planData.workspaces.size(); ++index)
 	{
-		for (const std::string& credential : this->held.workspaces[index].credentials)
+		for (const std::string& credential : this->planData.workspaces[index].credentials)
 		{
 			this->workspaceByCredential.emplace(credential, index);
 		}
 	}
-	for (std::size_t index = 0; index < this->held.pools.size(); ++index)
+	for (std::size_t index = 0; index < this->planData.pools.size(); ++index)
 	{
-		this->poolByName.emplace(this->held.pools[index].name, index);
+		this->poolByName.emplace(this->planData.pools[index].name, index);
 	}
 }
 
@@ -64,7 +64,7 @@
 		const auto found = host->second.find(path.substr(0, slash + 1));
 		if (found != host->second.end())
 		{
-			return &this->held.routes[found->second];
+			return &this->planData.routes[found->second];
 		}
 		path = path.substr(0, slash);
 	}
@@ -74,28 +74,28 @@
 const WorkspaceAccess* RoutePlan::workspaceOf(std::string_view _credential) const
 {
 	const auto found = this->workspaceByCredential.find(std::string(_credential));
-	return found == this->workspaceByCredential.end() ? nullptr : &this->held.workspaces[found->second];
+	return found == this->workspaceByCredential.end() ? nullptr : &this->planData.workspaces[found->second];
 }
 
 const PoolSpec* RoutePlan::pool(const std::string& _name) const
 {
 	const auto found = this->poolByName.find(_name);
-	return found == this->poolByName.end() ? nullptr : &this->held.pools[found->second];
+	return found == this->poolByName.end() ? nullptr : &this->planData.pools[found->second];
 }
 
 const RoutePlanData& RoutePlan::data() const
 {
-	return this->held;
+	return this->planData;
 }
 
-std::string drawPool(const Route& _route, std::uint64_t _draw)
+std::string choosePool(const Route& _route, std::uint64_t _random)
 {
 	double total = 0;
 	for (const PoolShare& share : _route.pools)
 	{
 		total += std::max(0.0, share.weight);
 	}
-	double point = static_cast<double>(_draw) / kDrawRange * total;
+	double point = static_cast<double>(_random) / kRandomRange * total;
 	for (const PoolShare& share : _route.pools)
 	{
 		point -= std::max(0.0, share.weight);
--- a/src/stage_admission.cpp
+++ b/src/stage_admission.cpp
@@ -40,12 +40,12 @@
 
 double StageAdmission::rateOf(const Pool& _pool) const
 {
-	const Micros call = _pool.limits.callTime + _pool.limits.pieceTime * _pool.limits.batch;
+	const Micros call = _pool.limits.callTime + _pool.limits.pieceTime * _pool.limits.maxPieces;
 	if (call <= 0)
 	{
 		return 0;
 	}
-	const std::int64_t atOnce = _pool.endpoints * _pool.limits.slots * _pool.limits.batch;
+	const std::int64_t atOnce = _pool.endpoints * _pool.limits.slots * _pool.limits.maxPieces;
 	return this->config.efficiency * static_cast<double>(atOnce) / static_cast<double>(call);
 }
 
--- a/src/stage_times.cpp
+++ b/src/stage_times.cpp
@@ -33,7 +33,7 @@
 	{
 		return 0;
 	}
-	const double filled = kUsualFill * static_cast<double>(pool->batches->batch);
+	const double filled = kUsualFill * static_cast<double>(pool->batches->maxPieces);
 	return pool->batches->callTime + static_cast<Micros>(filled * static_cast<double>(pool->batches->pieceTime));
 }
 
--- a/tests/feed_world.h
+++ b/tests/feed_world.h
@@ -30,12 +30,12 @@
 {
 public:
 	static constexpr Micros kStep = 10 * kMillisecond;
-	static constexpr Micros kTick = 200 * kMillisecond;
-	static constexpr Micros kReadEvery = 600 * kMillisecond;
-	static constexpr Micros kLinkTime = 2 * kMillisecond;
-	static constexpr Micros kTimeOut = 1'500 * kMillisecond; ///< Of a reading, beyond the time it waits.
-	static constexpr std::size_t kBytesOfEntry = 110;
-	static constexpr std::size_t kBytesOfMessage = 100;
+	static constexpr Micros kTickInterval = 200 * kMillisecond;
+	static constexpr Micros kReadInterval = 600 * kMillisecond;
+	static constexpr Micros kLinkLatency = 2 * kMillisecond;
+	static constexpr Micros kReadTimeout = 1'500 * kMillisecond; ///< Of a reading, beyond the time it waits.
+	static constexpr std::size_t kEntryBytes = 110;
+	static constexpr std::size_t kMessageBytes = 100;
 
 	/// One node with its readings and its outward link.
 	struct Node
@@ -43,18 +43,18 @@
 		std::string name;
 		FeedExchange exchange;
 		bool reading = false;
-		Micros routesBegunAt = 0;
-		Micros nextListing = 0;
+		Micros routesReadStartedAt = 0;
+		Micros nextListingRead = 0;
 		std::optional<std::uint64_t> position = {};
-		Micros nextTick = 0;
+		Micros nextTickAt = 0;
 		Micros linkFreeAt = 0;
-		Micros extraDelay = 0;                       ///< Of everything that it sends to other nodes.
-		bool cutOff = false;                         ///< From the platform.
-		bool silent = false;                         ///< Nothing gets in or out.
-		Micros stoppedUntil = 0;                     ///< Until then its control does not run; its traffic does.
-		FeedKnowledge knowledge = {};                ///< As its traffic has it.
-		Micros troubledUntil = 0;                    ///< When its last trouble ended.
-		std::map<std::string, Micros> seenGone = {}; ///< Names whose end it has read itself, and when.
+		Micros extraDelay = 0;                               ///< Of everything that it sends to other nodes.
+		bool cutOff = false;                                 ///< From the platform.
+		bool isolated = false;                               ///< Nothing gets in or out.
+		Micros controlStoppedUntil = 0;                      ///< Until then its control does not run; its traffic does.
+		FeedFreshness freshness = {};                        ///< As its traffic has it.
+		Micros faultsClearedAt = 0;                          ///< When its last trouble ended.
+		std::map<std::string, Micros> observedRemovals = {}; ///< Names whose end it has read itself, and when.
 	};
 
 	explicit FeedWorld(const FeedWorldConfig& _config) : config(_config)
@@ -65,7 +65,7 @@
 			this->names.push_back(name);
 			this->nodes.push_back(Node{
 				name, FeedExchange(name, FeedRelayConfig{}, DirectoryConfig{}, 100U + static_cast<unsigned>(index))});
-			this->nodes.back().nextTick = this->now + index * kTick / _config.nodes;
+			this->nodes.back().nextTickAt = this->now + index * kTickInterval / _config.nodes;
 		}
 		for (Node& node : this->nodes)
 		{
@@ -82,20 +82,20 @@
 	void unlist(const std::string& _name)
 	{
 		this->log.remove(_name);
-		this->removedAt.emplace(_name, this->now);
+		this->removalTimes.emplace(_name, this->now);
 	}
 
 	void publishRoutes()
 	{
 		this->version += 1;
-		this->publishedAt[this->version] = this->now;
+		this->publishTimes[this->version] = this->now;
 	}
 
 	/// @returns Newest version that was published at least so long ago.
-	[[nodiscard]] std::uint64_t versionBefore(Micros _age) const
+	[[nodiscard]] std::uint64_t newestVersionOlderThan(Micros _age) const
 	{
 		std::uint64_t newest = 0;
-		for (const auto& entry : this->publishedAt)
+		for (const auto& entry : this->publishTimes)
 		{
 			newest = entry.second <= this->now - _age ? entry.first : newest;
 		}
@@ -104,7 +104,7 @@
 
 	[[nodiscard]] std::vector<std::string> readers() const
 	{
-		return feedReadersOf(this->names, FeedRelayConfig{});
+		return selectFeedReaders(this->names, FeedRelayConfig{});
 	}
 
 	Node& node(const std::string& _name)
@@ -124,25 +124,25 @@
 	void step()
 	{
 		this->now += kStep;
-		while (!this->flying.empty() && this->flying.begin()->first <= this->now)
+		while (!this->inFlight.empty() && this->inFlight.begin()->first <= this->now)
 		{
-			const Flight flight = std::move(this->flying.begin()->second);
-			this->flying.erase(this->flying.begin());
-			this->deliver(flight);
+			const InFlightMessage message = std::move(this->inFlight.begin()->second);
+			this->inFlight.erase(this->inFlight.begin());
+			this->deliver(message);
 		}
 		for (Node& each : this->nodes)
 		{
-			if (each.silent || this->now < each.stoppedUntil)
+			if (each.isolated || this->now < each.controlStoppedUntil)
 			{
 				continue;
 			}
 			this->readTopics(each);
-			if (this->now >= each.nextTick)
+			if (this->now >= each.nextTickAt)
 			{
-				each.nextTick = this->now + kTick;
+				each.nextTickAt = this->now + kTickInterval;
 				this->perform(each, each.exchange.tick(this->now));
 			}
-			each.knowledge = each.exchange.knowledge(this->now);
+			each.freshness = each.exchange.freshness(this->now);
 		}
 	}
 
@@ -151,17 +151,17 @@
 	std::vector<Node> nodes;
 	ListingLog log;
 	Micros now = 10 * kSecond;
-	std::map<std::string, Micros> removedAt; ///< Names that went, and when.
-	std::size_t readingsBegun = 0;           ///< By all nodes so far.
-	double bytesSent = 0;                    ///< By all nodes so far.
+	std::map<std::string, Micros> removalTimes; ///< Names that went, and when.
+	std::size_t readsStarted = 0;               ///< By all nodes so far.
+	double bytesSent = 0;                       ///< By all nodes so far.
 
 private:
 	/// A message on its way.
-	struct Flight
+	struct InFlightMessage
 	{
 		std::string from;
 		std::string to;
-		std::variant<FeedAsk, FeedNews> message;
+		std::variant<FeedRequest, FeedResponse> message;
 	};
 
 	std::string recordOf(std::uint64_t _version) const
@@ -171,15 +171,15 @@
 		return record;
 	}
 
-	static std::size_t bytesOf(const FeedNews& _news)
+	static std::size_t bytesOf(const FeedResponse& _response)
 	{
-		return kBytesOfMessage + _news.record.size() +
-			   kBytesOfEntry * (_news.endpoints.listed.size() + _news.endpoints.unlisted.size());
+		return kMessageBytes + _response.record.size() +
+			   kEntryBytes * (_response.endpoints.listed.size() + _response.endpoints.unlisted.size());
 	}
 
-	static std::size_t bytesOf(const FeedAsk&)
+	static std::size_t bytesOf(const FeedRequest&)
 	{
-		return kBytesOfMessage;
+		return kMessageBytes;
 	}
 
 	template<class Message>
@@ -189,34 +189,36 @@
 		const double seconds = static_cast<double>(bytesOf(_message)) / this->config.linkBytesPerSecond;
 		_node.linkFreeAt =
 			std::max(_node.linkFreeAt, this->now) + static_cast<Micros>(seconds * static_cast<double>(kSecond));
-		this->flying.emplace(_node.linkFreeAt + kLinkTime + _node.extraDelay, Flight{_node.name, _to, _message});
+		this->inFlight.emplace(_node.linkFreeAt + kLinkLatency + _node.extraDelay,
+							   InFlightMessage{_node.name, _to, _message});
 	}
 
-	void deliver(const Flight& _flight)
+	void deliver(const InFlightMessage& _inFlight)
 	{
-		Node& to = this->node(_flight.to);
-		if (to.silent || this->node(_flight.from).silent)
+		Node& to = this->node(_inFlight.to);
+		if (to.isolated || this->node(_inFlight.from).isolated)
 		{
 			return;
 		}
-		if (this->now < to.stoppedUntil)
+		if (this->now < to.controlStoppedUntil)
 		{
-			this->flying.emplace(to.stoppedUntil, _flight);
+			this->inFlight.emplace(to.controlStoppedUntil, _inFlight);
 			return;
 		}
-		if (const auto* ask = std::get_if<FeedAsk>(&_flight.message))
+		if (const auto* request = std::get_if<FeedRequest>(&_inFlight.message))
 		{
-			this->perform(to, to.exchange.onAsk(_flight.from, *ask, this->now));
+			this->perform(to, to.exchange.onFeedRequest(_inFlight.from, *request, this->now));
 			return;
 		}
-		this->perform(to, to.exchange.onNews(_flight.from, std::get<FeedNews>(_flight.message), this->now));
+		this->perform(to,
+					  to.exchange.onFeedResponse(_inFlight.from, std::get<FeedResponse>(_inFlight.message), this->now));
 	}
 
-	void holdRoutes(Node& _node, std::uint64_t _version)
+	void setRoutes(Node& _node, std::uint64_t _version)
 	{
 		if (_version > _node.exchange.routes().version)
 		{
-			this->perform(_node, _node.exchange.holdRoutes(HeldRoutes{_version, this->recordOf(_version)}));
+			this->perform(_node, _node.exchange.setRoutes(EncodedRoutes{_version, this->recordOf(_version)}));
 		}
 	}
 
@@ -224,22 +226,23 @@
 	{
 		for (const FeedAction& action : _actions)
 		{
-			std::visit(Overloaded{[&](const StartReading&)
-								  {
-									  _node.reading = true;
-									  this->readingsBegun += 1;
-									  _node.position.reset();
-									  _node.routesBegunAt = this->now;
-									  _node.nextListing = this->now;
-								  },
-								  [&](const StopReading&) { _node.reading = false; },
-								  [&](const SendFeedAsk& _ask) { this->send(_node, _ask.to, _ask.message); },
-								  [&](const SendFeedNews& _news) { this->send(_node, _news.to, _news.message); },
-								  [&](const DecodeRoutes& _routes)
-								  { this->holdRoutes(_node, std::stoull(_routes.record)); },
-								  [&](const AskNext&) { this->perform(_node, _node.exchange.ask(this->now)); },
-								  [](const EndpointsChanged&) {}},
-					   action);
+			std::visit(
+				Overloaded{[&](const StartReading&)
+						   {
+							   _node.reading = true;
+							   this->readsStarted += 1;
+							   _node.position.reset();
+							   _node.routesReadStartedAt = this->now;
+							   _node.nextListingRead = this->now;
+						   },
+						   [&](const StopReading&) { _node.reading = false; },
+						   [&](const SendFeedRequest& _request) { this->send(_node, _request.to, _request.message); },
+						   [&](const SendFeedResponse& _response)
+						   { this->send(_node, _response.to, _response.message); },
+						   [&](const DecodeRoutes& _routes) { this->setRoutes(_node, std::stoull(_routes.record)); },
+						   [&](const RequestNext&) { this->perform(_node, _node.exchange.requestNext(this->now)); },
+						   [](const EndpointsChanged&) {}},
+				action);
 		}
 	}
 
@@ -252,26 +255,26 @@
 		}
 		if (_node.cutOff)
 		{
-			if (this->now - _node.routesBegunAt >= _node.exchange.routesWait() + kTimeOut)
+			if (this->now - _node.routesReadStartedAt >= _node.exchange.routesPollWait() + kReadTimeout)
 			{
-				_node.routesBegunAt = this->now;
-				_node.exchange.readingFailed(FeedTopic::Routes);
+				_node.routesReadStartedAt = this->now;
+				_node.exchange.onReadFailed(FeedTopic::Routes);
 			}
-			if (this->now - _node.nextListing >= kTimeOut)
+			if (this->now - _node.nextListingRead >= kReadTimeout)
 			{
-				_node.nextListing = this->now;
-				_node.exchange.readingFailed(FeedTopic::Endpoints);
+				_node.nextListingRead = this->now;
+				_node.exchange.onReadFailed(FeedTopic::Endpoints);
 			}
 			return;
 		}
 		const bool newer = this->version > _node.exchange.routes().version;
-		if (newer || this->now - _node.routesBegunAt >= _node.exchange.routesWait())
+		if (newer || this->now - _node.routesReadStartedAt >= _node.exchange.routesPollWait())
 		{
-			this->holdRoutes(_node, this->version);
-			_node.exchange.routesRead(_node.routesBegunAt);
-			_node.routesBegunAt = this->now;
+			this->setRoutes(_node, this->version);
+			_node.exchange.onRoutesRead(_node.routesReadStartedAt);
+			_node.routesReadStartedAt = this->now;
 		}
-		if (this->now >= _node.nextListing)
+		if (this->now >= _node.nextListingRead)
 		{
 			this->readListing(_node);
 		}
@@ -285,16 +288,16 @@
 		{
 			if (const auto* gone = std::get_if<UnlistedEndpoint>(&change))
 			{
-				_node.seenGone.emplace(gone->name, this->now);
+				_node.observedRemovals.emplace(gone->name, this->now);
 			}
 		}
 		_node.position = this->log.end();
-		_node.nextListing = this->now + kReadEvery;
-		this->perform(_node, _node.exchange.endpointsRead(read, this->now));
+		_node.nextListingRead = this->now + kReadInterval;
+		this->perform(_node, _node.exchange.onEndpointsRead(read, this->now));
 	}
 
-	std::multimap<Micros, Flight> flying; ///< By time of arrival.
-	std::map<std::uint64_t, Micros> publishedAt;
+	std::multimap<Micros, InFlightMessage> inFlight; ///< By time of arrival.
+	std::map<std::uint64_t, Micros> publishTimes;
 	std::uint64_t version = 0;
 };
 
--- a/tests/test_feed.cpp
+++ b/tests/test_feed.cpp
@@ -18,8 +18,8 @@
 
 using namespace roadferry;
 
-constexpr Micros kTick = 200 * kMillisecond;
-constexpr Micros kReadEvery = 600 * kMillisecond;
+constexpr Micros kTickInterval = 200 * kMillisecond;
+constexpr Micros kReadInterval = 600 * kMillisecond;
 
 Endpoint endpoint(const std::string& _id, bool _leaving = false)
 {
@@ -43,43 +43,43 @@
 	}
 
 	/// @returns When this node's knowledge of the platform is from, at the latest.
-	[[nodiscard]] Micros knownAt(const std::string& _name) const
+	[[nodiscard]] Micros asOf(const std::string& _name) const
 	{
-		const auto found = this->readAt.find(_name);
-		return found == this->readAt.end() ? 0 : found->second;
+		const auto found = this->asOfByNode.find(_name);
+		return found == this->asOfByNode.end() ? 0 : found->second;
 	}
 
 	void step()
 	{
-		this->now += kTick;
+		this->now += kTickInterval;
 		for (const std::string& name : this->names)
 		{
-			if (this->silent.count(name) > 0)
+			if (this->isolated.count(name) > 0)
 			{
 				continue;
 			}
 			const FeedRelayStep step = this->nodes.at(name).tick(this->now, this->cutOff.count(name) > 0);
-			this->reads[name] = step.readOwn;
-			const bool due = this->now - this->knownAt(name) >= kReadEvery || this->knownAt(name) == 0;
-			if (step.readOwn && this->cutOff.count(name) == 0 && due)
+			this->reads[name] = step.readsDirectly;
+			const bool due = this->now - this->asOf(name) >= kReadInterval || this->asOf(name) == 0;
+			if (step.readsDirectly && this->cutOff.count(name) == 0 && due)
 			{
-				this->readAt[name] = this->now;
+				this->asOfByNode[name] = this->now;
 			}
-			if (!step.ask.empty() && this->silent.count(step.ask) == 0)
+			if (!step.requestFrom.empty() && this->isolated.count(step.requestFrom) == 0)
 			{
-				this->answer(name, step.ask);
+				this->answer(name, step.requestFrom);
 			}
 		}
 	}
 
-	void answer(const std::string& _asker, const std::string& _asked)
+	void answer(const std::string& _follower, const std::string& _source)
 	{
-		const bool well = this->reads[_asked] && this->cutOff.count(_asked) == 0 && this->knownAt(_asked) > 0;
-		const std::optional<Micros> known = well ? std::optional(this->knownAt(_asked)) : std::nullopt;
-		this->nodes.at(_asker).heard(_asked, known);
-		if (well)
+		const bool canAnswer = this->reads[_source] && this->cutOff.count(_source) == 0 && this->asOf(_source) > 0;
+		const std::optional<Micros> known = canAnswer ? std::optional(this->asOf(_source)) : std::nullopt;
+		this->nodes.at(_follower).onResponse(_source, known);
+		if (canAnswer)
 		{
-			this->readAt[_asker] = std::max(this->knownAt(_asker), this->knownAt(_asked));
+			this->asOfByNode[_follower] = std::max(this->asOf(_follower), this->asOf(_source));
 		}
 	}
 
@@ -91,22 +91,22 @@
 	std::vector<std::string> names;
 	std::map<std::string, FeedRelay> nodes;
 	std::map<std::string, bool> reads;
-	std::map<std::string, Micros> readAt;
-	std::set<std::string> cutOff; ///< From the platform.
-	std::set<std::string> silent; ///< Dead, or cut off from all.
+	std::map<std::string, Micros> asOfByNode;
+	std::set<std::string> cutOff;   ///< From the platform.
+	std::set<std::string> isolated; ///< Dead, or cut off from all.
 	Micros now = 10 * kSecond;
 };
 
 } // namespace
 
-Test(feed_relay, few_nodes_each_read_for_themselves)
+Test(feed_relay, all_nodes_read_directly_in_a_small_cluster)
 {
 	RelayWorld world(7);
 	world.step();
 	cr_assert_eq(world.readers(), 7);
 }
 
-Test(feed_relay, of_many_nodes_few_read)
+Test(feed_relay, only_selected_readers_read_in_a_large_cluster)
 {
 	RelayWorld world(80);
 	for (int step = 0; step < 20; ++step)
@@ -114,15 +114,15 @@
 		world.step();
 	}
 	cr_assert_eq(world.readers(), 5);
-	cr_assert_eq(feedReadersOf(world.names, FeedRelayConfig{}).size(), 5);
+	cr_assert_eq(selectFeedReaders(world.names, FeedRelayConfig{}).size(), 5);
 	const std::vector<std::string> reversed(world.names.rbegin(), world.names.rend());
-	cr_assert(feedReadersOf(reversed, FeedRelayConfig{}) == feedReadersOf(world.names, FeedRelayConfig{}));
+	cr_assert(selectFeedReaders(reversed, FeedRelayConfig{}) == selectFeedReaders(world.names, FeedRelayConfig{}));
 }
 
-Test(feed_relay, node_reads_for_itself_while_all_readers_are_cut_off)
+Test(feed_relay, nodes_read_directly_while_all_readers_are_cut_off)
 {
 	RelayWorld world(20);
-	for (const std::string& reader : feedReadersOf(world.names, FeedRelayConfig{}))
+	for (const std::string& reader : selectFeedReaders(world.names, FeedRelayConfig{}))
 	{
 		world.cutOff.insert(reader);
 	}
@@ -139,17 +139,17 @@
 	cr_assert_eq(world.readers(), 3);
 }
 
-Test(feed_relay, nobody_that_reaches_the_platform_or_a_reader_stays_behind)
+Test(feed_relay, nodes_that_reach_the_platform_or_a_reader_stay_current)
 {
 	checkHistories("feed_relay",
 				   []
 				   {
 					   RelayWorld world(12);
 					   const int steps = *rc::gen::inRange(1, 80);
-					   std::map<std::string, Micros> freeSince; // Of nodes that could read for themselves.
+					   std::map<std::string, Micros> faultFreeSince; // Of nodes that could read for themselves.
 					   for (const std::string& name : world.names)
 					   {
-						   freeSince[name] = world.now;
+						   faultFreeSince[name] = world.now;
 					   }
 					   for (int step = 0; step < steps; ++step)
 					   {
@@ -161,32 +161,32 @@
 						   }
 						   else if (what == 1)
 						   {
-							   world.silent.insert(node);
+							   world.isolated.insert(node);
 						   }
 						   else if (what < 4)
 						   {
 							   world.cutOff.erase(node);
-							   world.silent.erase(node);
+							   world.isolated.erase(node);
 						   }
 						   world.step();
 						   for (const std::string& name : world.names)
 						   {
-							   if (world.cutOff.count(name) > 0 || world.silent.count(name) > 0)
+							   if (world.cutOff.count(name) > 0 || world.isolated.count(name) > 0)
 							   {
-								   freeSince[name] = world.now;
+								   faultFreeSince[name] = world.now;
 							   }
 							   // One that can read is never behind by more than the news' age and two ticks.
 							   const FeedRelayConfig config;
-							   if (world.now - freeSince[name] > config.staleAfter + 2 * kTick)
+							   if (world.now - faultFreeSince[name] > config.staleAfter + 2 * kTickInterval)
 							   {
-								   RC_ASSERT(world.now - world.knownAt(name) <= config.staleAfter + 2 * kTick);
+								   RC_ASSERT(world.now - world.asOf(name) <= config.staleAfter + 2 * kTickInterval);
 							   }
 						   }
 					   }
 				   });
 }
 
-Test(directory_changes, follower_holds_what_its_source_holds)
+Test(directory_changes, follower_matches_its_source)
 {
 	checkHistories("directory_changes",
 				   []
@@ -212,20 +212,20 @@
 							   source.markLeaving(id);
 							   break;
 						   case 2:
-							   source.read(log.since(std::exchange(known, log.end()), now), now);
+							   source.applyRead(log.since(std::exchange(known, log.end()), now), now);
 							   break;
 						   case 3:
 							   source.expire(now);
 							   break;
 						   default:
 							   log.put(endpoint(id, *rc::gen::inRange(0, 4) == 0));
-							   source.read(log.since(std::exchange(known, log.end()), now), now);
+							   source.applyRead(log.since(std::exchange(known, log.end()), now), now);
 							   break;
 						   }
 						   if (*rc::gen::inRange(0, 3) == 0)
 						   {
 							   const DirectoryChanges changes = source.changesSince(held);
-							   follower.take(changes, now, now);
+							   follower.merge(changes, now, now);
 							   held = changes.revision;
 							   RC_ASSERT(follower.endpoints() == source.endpoints());
 						   }
@@ -233,12 +233,12 @@
 				   });
 }
 
-Test(directory_changes, one_that_lacks_too_much_takes_the_whole)
+Test(directory_changes, follower_with_a_pruned_revision_gets_a_snapshot)
 {
 	EndpointDirectory source(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("stays"));
-	source.read(log.since(0, kSecond), kSecond);
+	source.applyRead(log.since(0, kSecond), kSecond);
 	const std::uint64_t held = source.changesSince(0).revision;
 	for (int index = 0; index < 1'200; ++index)
 	{
@@ -246,11 +246,11 @@
 		const std::uint64_t known = log.end();
 		log.put(endpoint(id));
 		log.remove(id);
-		source.read(log.since(known, kSecond), kSecond);
+		source.applyRead(log.since(known, kSecond), kSecond);
 	}
 	const DirectoryChanges changes = source.changesSince(held);
-	cr_assert(changes.whole);
+	cr_assert(changes.isSnapshot);
 	cr_assert_eq(changes.listed.size(), 1);
 	cr_assert(source.changesSince(changes.revision).listed.empty());
-	cr_assert_not(source.changesSince(changes.revision).whole);
+	cr_assert_not(source.changesSince(changes.revision).isSnapshot);
 }
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -270,10 +270,10 @@
 	PoolSpec pool;
 	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.keepAtMost);
 	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.keepAtMost);
-	pool.connections = 110;
+	pool.maxConnections = 110;
 	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // 80 nodes with one each would leave 30 of 110 for requests.
 	cr_assert_eq(idleConnectionsOf(&pool, 7), 7);
-	pool.connections = 100'000;
+	pool.maxConnections = 100'000;
 	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.keepAtMost);
 }
 
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -96,7 +96,7 @@
 	cr_assert_null(plan.match("two.example", "/x"));
 }
 
-Test(routes, credential_names_its_workspace)
+Test(routes, credential_maps_to_its_workspace)
 {
 	RoutePlanData data;
 	data.workspaces = {WorkspaceAccess{"hall", {"k1", "k2"}, 1}, WorkspaceAccess{"results", {"k3"}, {}}};
@@ -107,79 +107,79 @@
 	cr_assert_null(plan.workspaceOf(""));
 }
 
-Test(routes, pools_are_drawn_by_weight)
+Test(routes, pools_are_chosen_by_weight)
 {
 	Route route;
 	route.pools = {PoolShare{"a", 90}, PoolShare{"b", 10}, PoolShare{"never", 0}};
 	std::map<std::string, int> counts;
 	for (std::uint64_t draw = 0; draw < 1'000; ++draw)
 	{
-		counts[drawPool(route, draw * (~std::uint64_t{0} / 1'000))] += 1;
+		counts[choosePool(route, draw * (~std::uint64_t{0} / 1'000))] += 1;
 	}
 	cr_assert_eq(counts["a"], 900);
 	cr_assert_eq(counts["b"], 100);
 	cr_assert_eq(counts.count("never"), 0);
-	cr_assert(drawPool(Route{}, 7).empty());
+	cr_assert(choosePool(Route{}, 7).empty());
 }
 
-Test(directory, missing_entry_is_gone_at_once_while_the_listing_is_well)
+Test(directory, removed_entry_is_dropped_at_once_while_the_listing_is_available)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
-	directory.read(log.since(2, kSecond + 500 * kMillisecond), kSecond + 500 * kMillisecond);
+	directory.applyRead(log.since(2, kSecond + 500 * kMillisecond), kSecond + 500 * kMillisecond);
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-2"});
 }
 
-Test(directory, entry_that_lapsed_while_the_listing_was_away_has_time_to_come_back)
+Test(directory, entry_that_expired_during_an_outage_has_time_to_be_relisted)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
 	log.remove("e-2");
 	const Micros back = 10 * kSecond;
-	directory.read(log.whole(back), back);
+	directory.applyRead(log.whole(back), back);
 	cr_assert_eq(usableIds(directory).size(), 2);
 	log.put(endpoint("e-1"));
-	directory.read(log.since(4, back + kSecond), back + kSecond);
+	directory.applyRead(log.since(4, back + kSecond), back + kSecond);
 	cr_assert_not(directory.expire(back + 1'900 * kMillisecond));
 	cr_assert(directory.expire(back + 2 * kSecond));
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-1"});
 }
 
-Test(directory, entry_that_goes_after_the_return_is_dropped_two_seconds_after_the_return)
+Test(directory, entry_removed_after_an_outage_is_dropped_two_seconds_after_its_end)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	const Micros back = 10 * kSecond;
-	directory.read(log.since(1, back), back);
+	directory.applyRead(log.since(1, back), back);
 	log.remove("e-1");
-	directory.read(log.since(1, back + 1'800 * kMillisecond), back + 1'800 * kMillisecond);
+	directory.applyRead(log.since(1, back + 1'800 * kMillisecond), back + 1'800 * kMillisecond);
 	cr_assert_eq(usableIds(directory).size(), 1);
 	cr_assert(directory.expire(back + 2 * kSecond));
 	cr_assert(usableIds(directory).empty());
 }
 
-Test(directory, slow_reading_is_no_reason_to_keep_a_missing_entry)
+Test(directory, slow_read_does_not_keep_a_removed_entry)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
-	directory.read(log.since(1, 3 * kSecond), 3 * kSecond);
+	directory.applyRead(log.since(1, 3 * kSecond), 3 * kSecond);
 	cr_assert(usableIds(directory).empty());
 }
 
-Test(directory, leaving_is_never_taken_back)
+Test(directory, leaving_is_never_reverted)
 {
 	checkHistories("directory",
 				   []
@@ -188,7 +188,7 @@
 					   ListingLog log;
 					   std::uint64_t known = 0;
 					   const auto readOn = [&](Micros _now)
-					   { directory.read(log.since(std::exchange(known, log.end()), _now), _now); };
+					   { directory.applyRead(log.since(std::exchange(known, log.end()), _now), _now); };
 					   const std::vector<std::string> ids = {"e-1", "e-2", "e-3"};
 					   std::set<std::string> left;
 					   Micros now = kSecond;
