--- a/include/roadferry/parts/endpoints.h
+++ b/include/roadferry/parts/endpoints.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Part of the public header: endpoints, and which of them may be used while their listing is in doubt.
+/// Part of the public header: the endpoints that the platform lists, and how they outlast an outage of the listing.
 
 #ifndef ROADFERRY_PARTS_ENDPOINTS_H_HEADER_GUARD
 #define ROADFERRY_PARTS_ENDPOINTS_H_HEADER_GUARD
@@ -20,30 +20,33 @@
 namespace roadferry
 {
 
-/// An endpoint, as the platform lists it.
+/// An endpoint as the platform lists it.
 struct Endpoint
 {
-	std::string id;      ///< Unique for one start of the endpoint.
-	std::string address; ///< IP number and port.
+	std::string id;      ///< Unique per instance; changes when the endpoint restarts.
+	std::string address; ///< IP address and port.
 	std::string pool;
 	std::string failureDomain;
-	std::int64_t slots = 8; ///< Calls that it runs at once without slowing them down much.
+	std::int64_t slots = 8; ///< Calls that run in parallel without slowing each other down much.
 	bool leaving = false;
 	bool operator==(const Endpoint&) const = default;
 };
 
-/// Times of an EndpointDirectory.
+/// Time limits of an EndpointDirectory.
 struct DirectoryConfig
 {
-	/// After so long without news of the listing the platform may have been away, and entries may have lapsed
-	/// meanwhile: less than three of the reports that an endpoint writes each second or so.
+	/// Longest time between two updates of the listing in which no entry can have expired. After a longer gap the
+	/// platform may have been unavailable and entries may have expired. Shorter than three report intervals of an
+	/// endpoint, which reports about once per second.
 	Micros maxListingGap = 2 * kSecond;
 
-	/// How long after the listing's return a missing endpoint is kept: live ones list themselves again in this time.
+	/// How long a missing entry is kept after the listing becomes available again. Live endpoints list themselves
+	/// again within this time.
 	Micros relistGrace = 2 * kSecond;
 
-	/// How long an entry of an earlier start, written behind that of a later one, is taken for a write that was held
-	/// up: the later start writes again in this time. After it the endpoint's clock must have been set back.
+	/// How long an entry of an older instance that follows the entry of a newer one counts as a delayed write. The
+	/// newer instance writes again within this time. If it does not, the endpoint's clock was set back, and the entry
+	/// is adopted.
 	Micros olderInstanceGrace = 3 * kSecond;
 	bool operator==(const DirectoryConfig&) const = default;
 };
@@ -51,22 +54,22 @@
 /// An endpoint's entry in the listing.
 struct ListedEndpoint
 {
-	std::string name;           ///< Of the entry; an endpoint that starts again may have the name that it had.
-	std::uint64_t position = 0; ///< Of the entry in the platform's log.
+	std::string name;           ///< Name of the entry; an endpoint that restarts may keep it.
+	std::uint64_t position = 0; ///< Position of the entry in the platform's log.
 	Endpoint endpoint;
-	std::int64_t startedAt = 0; ///< By the endpoint's own clock, in Unix milliseconds; 0 when not told.
+	std::int64_t startedAt = 0; ///< Start of the instance by its own clock, in Unix milliseconds; 0 if unknown.
 	bool operator==(const ListedEndpoint&) const = default;
 };
 
-/// An entry that is gone.
+/// Removal of an entry from the listing.
 struct UnlistedEndpoint
 {
 	std::string name;
-	std::uint64_t position = 0; ///< Of its end in the platform's log.
+	std::uint64_t position = 0; ///< Position of the removal in the platform's log.
 	bool operator==(const UnlistedEndpoint&) const = default;
 };
 
-/// An entry that names no endpoint that could be used, whatever the entry before it named.
+/// An entry that describes no usable endpoint. It replaces the previous entry of the same name.
 struct UnusableEntry
 {
 	std::string name;
@@ -76,80 +79,81 @@
 
 using ListingChange = std::variant<ListedEndpoint, UnlistedEndpoint, UnusableEntry>;
 
-/// One reading of the listing that went well.
+/// Result of one successful read of the listing.
 struct ListingRead
 {
-	std::uint64_t position = 0; ///< Position in the platform's log behind what was read.
-	bool isSnapshot = false;    ///< Whether the changes are all entries there are.
-	Micros asOf = 0;            ///< When it was begun.
+	std::uint64_t position = 0; ///< Position in the platform's log after the last entry read.
+	bool isSnapshot = false;    ///< Whether the changes are all entries of the listing.
+	Micros asOf = 0;            ///< All changes made before this time are included.
 	std::vector<ListingChange> changes;
 	bool operator==(const ListingRead&) const = default;
 };
 
-/// What has changed in a directory since one of its revisions.
+/// Changes of a directory since one of its revisions.
 struct DirectoryChanges
 {
-	std::uint64_t revision = 0;         ///< The directory's revision with these changes.
-	std::uint64_t position = 0;         ///< Position in the platform's log up to which the directory was read.
-	bool isSnapshot = false;            ///< Whether the endpoints below are all there are.
-	std::vector<ListedEndpoint> listed; ///< Entries that are new or have changed.
-	std::vector<std::string> unlisted;  ///< Names of entries that have gone.
+	std::uint64_t revision = 0;         ///< Revision of the directory that includes these changes.
+	std::uint64_t position = 0;         ///< Position in the platform's log up to which the directory is complete.
+	bool isSnapshot = false;            ///< Whether the entries in listed are all entries of the directory.
+	std::vector<ListedEndpoint> listed; ///< New and changed entries.
+	std::vector<std::string> unlisted;  ///< Names of removed entries.
 	bool operator==(const DirectoryChanges&) const = default;
 };
 
-/// The endpoints of a listing that can be away: nothing is forgotten while it is, and what vanished meanwhile gets
-/// some time to come back. An endpoint that was once seen leaving stays so.
+/// The endpoints of a listing that can be unavailable. No entry is dropped during an outage, and entries that
+/// disappeared meanwhile get some time to be listed again. An endpoint that was seen leaving stays marked as leaving.
 ///
-/// A directory is complete up to a position in the platform's log, and each entry has its own. Two directories merge by
-/// position, whichever was read last: the later entry of a name wins, and a name that is absent where the log was read
-/// past its entry is gone.
+/// A directory is complete up to a position in the platform's log, and each entry has its own position. Two directories
+/// merge by position, regardless of which was read last: of two entries with the same name the later one wins, and an
+/// entry is removed if it is absent from a directory that is complete beyond the position of the entry.
 class EndpointDirectory
 {
 public:
 	explicit EndpointDirectory(DirectoryConfig _config);
 
-	/// The listing was read up to its end, whether or not anything had changed.
-	/// @returns Whether anything changed here.
+	/// Applies a read of the listing up to its end, which may contain no changes.
+	/// @returns Whether the directory changed.
 	bool applyRead(const ListingRead& _read, Micros _now);
 
-	/// Another node knows the endpoint to be leaving.
+	/// Marks an endpoint as leaving that another node has seen leaving.
 	void markLeaving(const std::string& _id);
 
-	/// Drops what did not come back in time.
-	/// @returns Whether anything was dropped.
+	/// Drops missing entries whose grace period has ended, and adopts entries of older instances that are due.
+	/// @returns Whether the directory changed.
 	bool expire(Micros _now);
 
-	/// @returns All endpoints that may be known to callers, those that are leaving marked so.
+	/// @returns All endpoints, including those marked as leaving.
 	[[nodiscard]] std::vector<Endpoint> endpoints() const;
 
-	/// @returns The number of the last change.
+	/// @returns Revision after the last change.
 	[[nodiscard]] std::uint64_t latestRevision() const;
 
-	/// @param[in] _revision Revision that the asker holds, 0 for none.
-	/// @returns What it lacks.
+	/// @param[in] _revision Revision of this directory that the requesting node holds, 0 for none.
+	/// @returns Changes since that revision, or a snapshot if they are not kept any more.
 	[[nodiscard]] DirectoryChanges changesSince(std::uint64_t _revision) const;
 
-	/// Merges the changes of another node's directory, which may have read less of the log or more.
+	/// Merges the changes of another node's directory, which may be complete up to an earlier or a later position.
 	/// @param[in] _asOf Time point at which the other directory was complete.
 	void merge(const DirectoryChanges& _changes, Micros _asOf, Micros _now);
 
-	/// @returns Endpoints that were seen leaving or gone, for other nodes.
+	/// @returns Ids of the endpoints that were seen leaving, to be sent to other nodes.
 	[[nodiscard]] const std::set<std::string>& leaving() const;
 
-	/// @returns Whether an entry says anything that is not held here; one that was merely renewed does not.
+	/// @returns Whether an entry differs from the one that is held; a renewal alone is no difference.
 	[[nodiscard]] bool differs(const ListedEndpoint& _listed) const;
 
-	/// @returns When the last reading of the listing was begun, 0 for never.
+	/// @returns Time point up to which the last own read of the listing includes all changes, 0 for never.
 	[[nodiscard]] Micros ownReadAsOf() const;
 
-	/// @returns Time point at which this directory was complete, by readings and by news; 0 for never.
+	/// @returns Time point at which this directory was complete, by own reads and by responses of other nodes; 0 for
+	/// never.
 	[[nodiscard]] Micros completeAsOf() const;
 
 	/// @returns Position in the platform's log up to which this directory is complete.
 	[[nodiscard]] std::uint64_t position() const;
 
 private:
-	/// An entry of an earlier start than the one that is held, and when it was read.
+	/// An entry of an older instance than the one that is held, and when such an entry was first read.
 	struct OlderInstance
 	{
 		ListedEndpoint entry;
@@ -170,19 +174,19 @@
 	void drop(const std::string& _name);
 
 	DirectoryConfig config;
-	std::map<std::string, ListedEndpoint> entries;           ///< By name.
-	std::uint64_t revision = 0;                              ///< Counts changes.
+	std::map<std::string, ListedEndpoint> entries;           ///< Keyed by name.
+	std::uint64_t revision = 0;                              ///< Incremented by each change.
 	std::map<std::string, std::uint64_t> changeRevisions;    ///< Revision of each entry's last change.
-	std::map<std::uint64_t, std::string> unlistedByRevision; ///< Entries that went, the latest ones.
-	std::uint64_t prunedUpTo = 0;  ///< Entries that went up to this revision are not known any more.
-	std::set<std::string> missing; ///< Entries that have gone while in doubt, and are dropped with its end.
-	std::map<std::string, OlderInstance> olderInstances; ///< By name.
-	std::set<std::string> leavingIds;                    ///< Endpoints that were seen leaving.
+	std::map<std::uint64_t, std::string> unlistedByRevision; ///< Names of the latest removed entries.
+	std::uint64_t prunedUpTo = 0;                            ///< Removals up to this revision are not kept any more.
+	std::set<std::string> missing; ///< Entries removed during the grace period, dropped at its end.
+	std::map<std::string, OlderInstance> olderInstances; ///< Keyed by name.
+	std::set<std::string> leavingIds;                    ///< Ids of endpoints that were seen leaving.
 	Micros lastReadAsOf = 0;
 	Micros asOf = 0;               ///< Time point at which this directory was complete, 0 for never.
-	std::uint64_t logPosition = 0; ///< Position up to which this directory is complete.
-	Micros positionAdvancedAt = 0; ///< When that position was reached.
-	Micros relistGraceEndsAt = 0;  ///< Until then a missing entry may be one that lapsed while the listing was away.
+	std::uint64_t logPosition = 0; ///< Position in the platform's log up to which this directory is complete.
+	Micros positionAdvancedAt = 0; ///< When logPosition last advanced.
+	Micros relistGraceEndsAt = 0;  ///< Until then a missing entry may have expired during an outage.
 };
 
 } // namespace roadferry
--- a/src/endpoint_directory.cpp
+++ b/src/endpoint_directory.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Endpoints of a listing that can be away.
+/// Implementation of the directory of endpoints.
 
 #include <roadferry/roadferry.h>
 
@@ -16,8 +16,8 @@
 namespace
 {
 
-constexpr std::size_t kMaxUnlistedKept =
-	1'000; ///< Some minutes of endpoints that go; whoever lacks more takes the whole.
+/// Removed entries that are kept, enough for some minutes. A node that holds an older revision gets a snapshot.
+constexpr std::size_t kMaxUnlistedKept = 1'000;
 
 } // namespace
 
@@ -30,7 +30,8 @@
 	return _now < this->relistGraceEndsAt;
 }
 
-/// After a gap in what is known the listing may have been away.
+/// Advances the time point of completeness. Starts the grace period after a long gap, in which the listing may have
+/// been unavailable.
 void EndpointDirectory::advanceAsOf(Micros _asOf, Micros _now)
 {
 	if (this->asOf > 0 && _asOf - this->asOf > this->config.maxListingGap)
@@ -67,7 +68,7 @@
 	}
 	else if (isNewer)
 	{
-		held->second.position = _listed.position; // Renewed.
+		held->second.position = _listed.position; // The entry was only renewed.
 	}
 }
 
@@ -124,7 +125,7 @@
 		present.insert(entry.name);
 		this->applyListed(entry);
 	}
-	// The other node has waited for them to come back.
+	// The other node has already waited the grace period.
 	for (const std::string& name : _changes.unlisted)
 	{
 		this->dropIfOlder(UnlistedEndpoint{name, _changes.position});
@@ -139,7 +140,7 @@
 	this->advanceTo(_changes.position, _now);
 }
 
-/// Drops an entry, unless a later one is held.
+/// Drops the entry with this name if its position is before the removal.
 void EndpointDirectory::dropIfOlder(const UnlistedEndpoint& _gone)
 {
 	const auto held = this->entries.find(_gone.name);
@@ -150,7 +151,7 @@
 	}
 }
 
-/// Drops an entry that has gone, or keeps it for a while where it may have lapsed.
+/// Drops a removed entry, or keeps it as missing during the grace period, in which it may merely have expired.
 void EndpointDirectory::applyUnlisted(const UnlistedEndpoint& _gone, Micros _now)
 {
 	const auto held = this->entries.find(_gone.name);
@@ -163,7 +164,9 @@
 	this->dropIfOlder(_gone);
 }
 
-/// @returns Entries that are not in a listing of that position.
+/// @param[in] _present Names in a snapshot.
+/// @param[in] _position Position of the snapshot.
+/// @returns Removals of the entries that are absent from the snapshot.
 std::vector<UnlistedEndpoint> EndpointDirectory::entriesAbsentFrom(const std::set<std::string>& _present,
 																   std::uint64_t _position) const
 {
@@ -187,7 +190,7 @@
 	}
 }
 
-/// The platform's log has begun anew: what is held is older than all that it has.
+/// Called when the platform's log has restarted: all held entries count as older than those of the new log.
 void EndpointDirectory::resetPositions()
 {
 	this->logPosition = 0;
@@ -215,7 +218,8 @@
 	const std::uint64_t before = this->revision;
 	this->advanceAsOf(_read.asOf, _now);
 	this->lastReadAsOf = _read.asOf;
-	// A reading that was begun before more was heard from another node is merged like any other.
+	// A read that started before another node's response advanced the position is merged like any other: its lower
+	// position does not mean that the log has restarted.
 	const bool logRestarted =
 		_read.isSnapshot && _read.position < this->logPosition && _read.asOf > this->positionAdvancedAt;
 	if (logRestarted)
@@ -254,7 +258,7 @@
 	return this->revision != before;
 }
 
-/// Takes an entry that was read here. Starts of one endpoint are in the order of its clock, unless that was set back.
+/// Applies an entry of an own read. Instances of one endpoint are ordered by its clock, unless the clock was set back.
 void EndpointDirectory::applyReadEntry(const ListedEndpoint& _listed, Micros _now)
 {
 	const auto held = this->entries.find(_listed.name);
