--- a/include/roadferry/parts/feed_exchange.h
+++ b/include/roadferry/parts/feed_exchange.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Part of the public header: what one node knows of the platform's topics, by its own readings and from other nodes.
+/// Part of the public header: one node's copy of the platform's topics, from its own reads and from other nodes.
 
 #ifndef ROADFERRY_PARTS_FEED_EXCHANGE_H_HEADER_GUARD
 #define ROADFERRY_PARTS_FEED_EXCHANGE_H_HEADER_GUARD
@@ -16,43 +16,44 @@
 namespace roadferry
 {
 
-/// The newest routes that a node holds.
+/// A version of the routes in the encoding between nodes.
 struct EncodedRoutes
 {
 	std::uint64_t version = 0; ///< 0 for none.
-	std::string record;        ///< As nodes pass them on.
+	std::string record;        ///< Result of packRecord.
 	bool operator==(const EncodedRoutes&) const = default;
 };
 
-/// How current a node's knowledge of the platform's topics is.
+/// How current a node's copy of the platform's topics is.
 struct FeedFreshness
 {
-	Micros routesAsOf = 0;    ///< Every change of the routes that was made before this time is known; 0 for never.
-	Micros listingAsOf = 0;   ///< The same of the endpoints.
-	Micros checkedAt = 0;     ///< When this was found.
-	std::string source;       ///< Node that told, empty when they are read here.
-	bool unavailable = false; ///< The platform does not answer here, or at the node that told.
+	Micros routesAsOf = 0;    ///< All changes of the routes before this time are included; 0 for never.
+	Micros listingAsOf = 0;   ///< All changes of the endpoints before this time are included; 0 for never.
+	Micros checkedAt = 0;     ///< When this state was taken.
+	std::string source;       ///< Node that the changes come from, empty if this node reads them.
+	bool unavailable = false; ///< Whether this node, or its source, cannot read the topics.
 	bool operator==(const FeedFreshness&) const = default;
 };
 
-/// Whether a request may be handled by what a node knows: a lease, which each reading and all news renew. While the
-/// platform does not answer, it does not run out, as long as the node goes on to look for what is new.
-/// @param[in] _lease How old routes and endpoints may be.
+/// Checks the lease under which a node handles requests. Each read and each response of the source renews it. While the
+/// platform is unavailable, it does not expire as long as the node keeps checking for changes.
+/// @param[in] _lease Maximum age of routes and endpoints.
+/// @returns Whether requests may be handled.
 bool isFeedLeaseValid(const FeedFreshness& _freshness, Micros _now, Micros _lease);
 
-/// Begin to read both topics.
+/// Start reading both topics.
 struct StartReading
 {
 	bool operator==(const StartReading&) const = default;
 };
 
-/// Read no more.
+/// Stop reading both topics.
 struct StopReading
 {
 	bool operator==(const StopReading&) const = default;
 };
 
-/// Send a question to another node.
+/// Send a request to another node.
 struct SendFeedRequest
 {
 	std::string to;
@@ -60,7 +61,7 @@
 	bool operator==(const SendFeedRequest&) const = default;
 };
 
-/// Send an answer to another node.
+/// Send a response to another node.
 struct SendFeedResponse
 {
 	std::string to;
@@ -68,7 +69,7 @@
 	bool operator==(const SendFeedResponse&) const = default;
 };
 
-/// Decode routes that another node has passed on, and hand them to FeedExchange::setRoutes.
+/// Decode routes that another node has sent, and pass them to FeedExchange::setRoutes.
 struct DecodeRoutes
 {
 	std::string record;
@@ -76,7 +77,7 @@
 	bool operator==(const DecodeRoutes&) const = default;
 };
 
-/// The news have been taken: call FeedExchange::requestNext.
+/// A response has been processed: call FeedExchange::requestNext.
 struct RequestNext
 {
 	bool operator==(const RequestNext&) const = default;
@@ -92,19 +93,19 @@
 								EndpointsChanged>;
 using FeedActions = std::vector<FeedAction>;
 
-/// Which of the platform's topics.
+/// The platform's topics.
 enum class FeedTopic
 {
 	Routes,
 	Endpoints
 };
 
-/// Decides when a node reads the platform's topics itself, whom it asks otherwise, what it tells nodes that ask it,
-/// and keeps what it knows. No I/O, no clock.
+/// Holds a node's copy of the platform's topics. Decides when the node reads them itself, which node it requests
+/// changes from otherwise, and what it sends to its followers. No I/O, no clock.
 class FeedExchange
 {
 public:
-	/// @param[in] _directoryId Random number that tells this process's revisions from those of others.
+	/// @param[in] _directoryId Random number that distinguishes the revisions of this process from those of others.
 	FeedExchange(std::string _self, FeedRelayConfig _relay, DirectoryConfig _directory, std::uint64_t _directoryId);
 
 	/// @param[in] _members Live nodes, this one among them.
@@ -114,54 +115,54 @@
 	FeedActions onFeedRequest(const std::string& _from, const FeedRequest& _request, Micros _now);
 	FeedActions onFeedResponse(const std::string& _from, const FeedResponse& _response, Micros _now);
 
-	/// Asks for what comes after what is held here, if a question is due.
+	/// Requests the changes after those that are held, if a request is due.
 	FeedActions requestNext(Micros _now);
 
-	/// Newer routes are in force here.
+	/// Sets the routes that are in force at this node.
 	FeedActions setRoutes(EncodedRoutes _routes);
 
-	/// A reading of the routes went well; setRoutes was called with what it gave.
-	/// @param[in] _asOf All changes before this time are known with it.
+	/// Records a successful read of the routes, whose result was already passed to setRoutes.
+	/// @param[in] _asOf All changes before this time are included.
 	void onRoutesRead(Micros _asOf);
 
-	/// A reading of the endpoints went well.
+	/// Applies a successful read of the endpoints.
 	FeedActions onEndpointsRead(const ListingRead& _read, Micros _now);
 
-	/// A reading went wrong.
+	/// Records a failed read.
 	void onReadFailed(FeedTopic _topic);
 
-	/// Another node has told what it knows while the platform is away.
-	/// @param[in] _endpoints Taken only while none are known here.
-	/// @param[in] _leaving Endpoints that it has seen leaving.
+	/// Merges the endpoints of another node while the platform is unavailable.
+	/// @param[in] _endpoints Used only while no endpoints are known.
+	/// @param[in] _leaving Ids of endpoints that the other node has seen leaving.
 	FeedActions mergePeerEndpoints(const std::vector<ListedEndpoint>& _endpoints,
 								   const std::vector<std::string>& _leaving, Micros _now);
 
-	/// @returns How long one reading of the routes should wait for a change: no longer than may pass before a
-	/// connection that went silent is noticed, or before the nodes that ask this one want to know.
+	/// @returns How long a read of the routes should wait for a change. Bounds how late a silent connection is noticed,
+	/// and the age of the data that followers get.
 	[[nodiscard]] Micros routesPollWait() const;
 
 	/// @returns Whether routes and endpoints are known.
 	[[nodiscard]] bool ready() const;
 
-	/// @returns Whether a topic cannot be read, or is not known yet.
+	/// @returns Whether a topic cannot be read, or has not been received yet.
 	[[nodiscard]] bool unavailable() const;
 
 	[[nodiscard]] const EndpointDirectory& endpoints() const;
 	[[nodiscard]] const EncodedRoutes& routes() const;
 
-	/// @returns The node that this one asks, empty for none.
+	/// @returns The node that this one sends requests to, empty for none.
 	[[nodiscard]] const std::string& source() const;
 
-	/// @returns How current the knowledge of both topics is.
+	/// @returns How current both topics are.
 	[[nodiscard]] FeedFreshness freshness(Micros _now) const;
 
 private:
-	/// A node that has asked this one.
+	/// A node that requests changes from this one.
 	struct Follower
 	{
-		FeedRequest request;
-		Micros receivedAt = 0; ///< The question.
-		bool waiting = false;  ///< For an answer.
+		FeedRequest request;   ///< The last one.
+		Micros receivedAt = 0; ///< When the request arrived.
+		bool waiting = false;  ///< Whether the request is still unanswered.
 	};
 
 	[[nodiscard]] bool readsPlatform() const;
@@ -184,10 +185,10 @@
 	bool routesReadFailed = false;
 	bool listingReadFailed = false;
 	Micros ownRoutesAsOf = 0;
-	Micros latestRoutesAsOf = 0;               ///< By own readings and by news.
-	std::map<std::string, Follower> followers; ///< By address.
-	std::uint64_t sourceId = 0;                ///< Directory that was followed last,
-	std::uint64_t sourceRevision = 0;          ///< and how far.
+	Micros latestRoutesAsOf = 0;               ///< By own reads and by responses.
+	std::map<std::string, Follower> followers; ///< Keyed by address.
+	std::uint64_t sourceId = 0;                ///< Directory id of the last merged response.
+	std::uint64_t sourceRevision = 0;          ///< Directory revision of the last merged response.
 };
 
 } // namespace roadferry
--- a/include/roadferry/parts/time.h
+++ b/include/roadferry/parts/time.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Part of the public header: time, and visitors of variants.
+/// Part of the public header: time, and a helper for visitors of variants.
 
 #ifndef ROADFERRY_PARTS_TIME_H_HEADER_GUARD
 #define ROADFERRY_PARTS_TIME_H_HEADER_GUARD
--- a/src/feed_exchange.cpp
+++ b/src/feed_exchange.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// What one node knows of the platform's topics, by its own readings and from other nodes.
+/// Implementation of a node's copy of the platform's topics.
 
 #include <roadferry/parts/feed_exchange.h>
 
@@ -91,7 +91,7 @@
 	return this->currentRoutes.version > _follower.request.version || (this->readsPlatform() && !isUpToDate);
 }
 
-/// @returns Whether this node can say of what time its knowledge is.
+/// @returns Whether this node reads both topics itself, and so can give the age of its data.
 bool FeedExchange::readsPlatform() const
 {
 	return this->reading && !this->routesReadFailed && !this->listingReadFailed && this->ready();
@@ -122,8 +122,8 @@
 	_actions.emplace_back(SendFeedResponse{_to, this->responseFor(_follower)});
 }
 
-/// Passes on what is new as soon as it is known here, to nodes that have taken what they were told before: on a narrow
-/// link they get the newest, not each one in turn.
+/// Sends changes at once to the followers that have a request waiting, which have received all earlier responses. Over
+/// a slow link they get the newest version instead of every intermediate one.
 void FeedExchange::notifyFollowers(FeedActions& _actions)
 {
 	for (auto& entry : this->followers)
@@ -135,7 +135,7 @@
 	}
 }
 
-/// Answers questions that have waited long enough, and forgets nodes that do not ask any more.
+/// Removes followers that send no more requests, and answers requests that have waited for maxRequestHold.
 void FeedExchange::answerOverdueRequests(Micros _now, FeedActions& _actions)
 {
 	std::erase_if(this->followers,
@@ -160,13 +160,14 @@
 	FeedActions actions;
 	if (_from != this->relay.source())
 	{
-		return actions; // Of a node that was asked before; the one that is asked now tells all of it.
+		return actions; // A response of a previous source. The responses of the current one include its changes.
 	}
 	if (!_response.record.empty())
 	{
 		actions.emplace_back(DecodeRoutes{_response.record, _from});
 	}
-	// The sender's age was true after the question was sent: the way there and back counts as age, too.
+	// The age was measured when the request arrived. Counting from when it was sent adds the transit time of the
+	// request and of the response to the age.
 	const Micros sentAt = std::min(_response.requestSentAt, _now);
 	const std::optional<Micros> asOf =
 		_response.age ? std::optional(std::min(_now, sentAt - *_response.age)) : std::nullopt;
@@ -284,7 +285,7 @@
 {
 	if (_freshness.unavailable)
 	{
-		return _now - _freshness.checkedAt <= _lease; // What is known holds, while somebody looks for more.
+		return _now - _freshness.checkedAt <= _lease; // The data stays valid while the node keeps checking.
 	}
 	const Micros asOf = std::min(_freshness.routesAsOf, _freshness.listingAsOf);
 	return asOf > 0 && _now - asOf <= _lease;
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the reading of a topic.
+/// Implementation of the reads of a topic.
 
 #include "feed_loop.h"
 
@@ -18,12 +18,14 @@
 {
 
 constexpr Micros kInitialBackoff = 250 * kMillisecond;
-constexpr Micros kMaxAge = 1'500 * kMillisecond; ///< What is known gets about so old at most before the next answer.
+constexpr Micros kMaxAge = 1'500 * kMillisecond; ///< Approximate maximum age of the data before the next answer.
 constexpr Micros kMinPollWait = 200 * kMillisecond;
-/// Beyond the wait, until a platform that has answered so far counts as lost: less than a request's lease is left then.
+/// Time after the end of the wait until a platform that has answered so far counts as unavailable. At that point, less
+/// than the lease under which requests are handled is left.
 constexpr Micros kResponseTimeout = 800 * kMillisecond;
-constexpr Micros kRecoveryTimeout = 1'500 * kMillisecond; ///< Of a platform that is lost: it may merely be slow.
-constexpr Micros kMaxBackoff = kSecond;                   ///< Bounds how late the platform's return is noticed.
+/// The same while the platform counts as unavailable: it may merely be slow.
+constexpr Micros kRecoveryTimeout = 1'500 * kMillisecond;
+constexpr Micros kMaxBackoff = kSecond; ///< Bounds how late the platform's recovery is noticed.
 
 const char* nameOf(FeedTopic _topic)
 {
@@ -102,7 +104,7 @@
 {
 	if (this->lastReadFailed())
 	{
-		return 0; // An answer at once says sooner that the platform is back.
+		return 0; // An immediate answer shows the platform's recovery earlier.
 	}
 	const Micros left = kMaxAge - (this->readStartedAt - this->asOf);
 	return std::min(this->timing.pollWait, std::max(kMinPollWait, left));
@@ -121,7 +123,7 @@
 	}
 	this->backoff = 0;
 	this->everRead = true;
-	// Without anything new the platform answers only after the wait, and knows by then that there was nothing.
+	// An answer without changes comes after the wait and covers that time, too.
 	const bool nothingNew = !_isSnapshot && _page->next == this->position;
 	this->asOf = this->readStartedAt + (nothingNew ? this->requestedWait : 0);
 	this->position = _page->next;
--- a/src/feed_loop.h
+++ b/src/feed_loop.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Reads one topic of a feed again and again.
+/// Continuous reads of one topic of a feed.
 
 #ifndef ROADFERRY_FEED_LOOP_H_HEADER_GUARD
 #define ROADFERRY_FEED_LOOP_H_HEADER_GUARD
@@ -16,49 +16,49 @@
 namespace roadferry
 {
 
-/// How often a topic is read.
+/// Time limits of the reads of a topic.
 struct FeedPollTiming
 {
-	Micros pollWait = 0; ///< How long one reading waits for something new.
-	Micros pause = 0;    ///< Between two readings.
+	Micros pollWait = 0; ///< Longest wait of a read for a change.
+	Micros pause = 0;    ///< Between the end of a read and the start of the next.
 	bool operator==(const FeedPollTiming&) const = default;
 };
 
-/// One reading of a topic that went well.
+/// Result of one successful read of a topic.
 struct FeedReadResult
 {
 	FeedPage page;
-	bool isSnapshot = false; ///< Whether the page has all entries there are.
-	Micros asOf = 0;         ///< All changes before this time are known with it.
+	bool isSnapshot = false; ///< Whether the page has all entries of the topic.
+	Micros asOf = 0;         ///< All changes before this time are included.
 };
 
-/// What a loop tells. Called on the control thread.
+/// Callbacks of a FeedLoop, called on the control thread.
 struct FeedHandlers
 {
 	std::function<void(const FeedReadResult& _reading)> onRead;
-	std::function<void()> onFailed; ///< A reading went wrong; it is tried again.
+	std::function<void()> onFailed; ///< A read failed and will be retried.
 };
 
-/// Keeps a topic up to date: the whole of it first, then what came after; the whole again when the platform does not
-/// hold the changes any more. Pauses longer and longer while the platform does not answer.
+/// Keeps a topic up to date. Reads a snapshot first and then the changes after it, or another snapshot when the
+/// platform does not keep those changes any more. Backs off exponentially while the platform does not answer.
 class FeedLoop
 {
 public:
 	FeedLoop(Feed& _feed, FeedTopic _topic, FeedPollTiming _timing, FeedHandlers _handlers);
 
-	/// Begins to read, from the whole of the topic.
+	/// Starts reading with a snapshot of the topic.
 	void start();
 
-	/// Reads no more until the next start.
+	/// Stops reading until the next start.
 	void stop();
 
-	/// @param[in] _wait How long each reading from now on waits for something new.
+	/// @param[in] _wait Longest wait of each following read for a change.
 	void setPollWait(Micros _wait);
 
-	/// @returns Whether the whole topic was read at least once.
+	/// @returns Whether the topic was read at least once.
 	[[nodiscard]] bool hasRead() const;
 
-	/// @returns Whether the last reading failed.
+	/// @returns Whether the last read failed.
 	[[nodiscard]] bool lastReadFailed() const;
 
 private:
@@ -72,13 +72,13 @@
 	FeedPollTiming timing;
 	FeedHandlers handlers;
 	QTimer timer;
-	std::optional<std::uint64_t> position; ///< Nothing until the whole was read.
-	std::uint64_t generation = 0;          ///< Counts starts and stops; answers to earlier ones are dropped.
+	std::optional<std::uint64_t> position; ///< Where the next read starts; not set until a snapshot was read.
+	std::uint64_t generation = 0; ///< Counts starts and stops; answers to reads before the last one are dropped.
 	Micros backoff = 0;
 	bool everRead = false;
-	Micros readStartedAt = 0; ///< The reading under way.
-	Micros requestedWait = 0; ///< That it was asked to wait for something new.
-	Micros asOf = 0;          ///< Time point up to which everything was read, 0 for never.
+	Micros readStartedAt = 0; ///< Start of the current read.
+	Micros requestedWait = 0; ///< Longest wait of the current read for a change.
+	Micros asOf = 0;          ///< All changes before this time were read; 0 for never.
 };
 
 } // namespace roadferry
--- a/src/feed_record.cpp
+++ b/src/feed_record.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the form in which nodes pass records on.
+/// Implementation of the encoding of records.
 
 #include "feed_record.h"
 
@@ -17,9 +17,9 @@
 namespace
 {
 
-constexpr int kCompressionLevel = 1;                         ///< Compression level.
-constexpr std::size_t kSizeHeaderBytes = 4;                  ///< Of the unpacked size, which stands first.
-constexpr std::uint32_t kMaxUnpackedBytes = 8 * 1024 * 1024; ///< Bytes; the size is believed only up to here.
+constexpr int kCompressionLevel = 1;                         ///< The fastest one.
+constexpr std::size_t kSizeHeaderBytes = 4;                  ///< Size of the header that gives the size of the record.
+constexpr std::uint32_t kMaxUnpackedBytes = 8 * 1024 * 1024; ///< Limits the memory allocated for a malformed header.
 
 } // namespace
 
@@ -32,12 +32,12 @@
 {
 	if (_packed.size() < kSizeHeaderBytes || qFromBigEndian<quint32>(_packed.data()) > kMaxUnpackedBytes)
 	{
-		return absl::InvalidArgumentError("record: not packed, or larger than 8 MB");
+		return absl::InvalidArgumentError("record: malformed header, or larger than 8 MiB");
 	}
 	const QByteArray record = qUncompress(QByteArray::fromStdString(_packed));
 	if (record.isEmpty())
 	{
-		return absl::InvalidArgumentError("record: damaged");
+		return absl::InvalidArgumentError("record: cannot be decompressed");
 	}
 	return record.toStdString();
 }
--- a/src/feed_record.h
+++ b/src/feed_record.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The form in which nodes pass the platform's records on to each other.
+/// Encoding of the platform's records in messages between nodes.
 
 #ifndef ROADFERRY_FEED_RECORD_H_HEADER_GUARD
 #define ROADFERRY_FEED_RECORD_H_HEADER_GUARD
@@ -16,10 +16,12 @@
 namespace roadferry
 {
 
-/// @returns The record, compressed.
+/// Compresses a record.
+/// @returns The size of the record in bytes, 4 bytes in big-endian order, and the compressed record.
 std::string packRecord(const std::string& _record);
 
-/// @returns The record, or InvalidArgument for bytes that are not a packed record of a size that nodes pass on.
+/// Decompresses the result of packRecord.
+/// @returns The record, or InvalidArgument if the bytes are malformed or the record is larger than 8 MiB.
 absl::StatusOr<std::string> unpackRecord(const std::string& _packed);
 
 } // namespace roadferry
--- a/src/feed_relay.cpp
+++ b/src/feed_relay.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Decides which nodes read the platform's topics, and whom the others ask.
+/// Selection of the nodes that read the platform's topics, and of the source of every other node.
 
 #include <roadferry/parts/feed_relay.h>
 
@@ -19,7 +19,8 @@
 namespace
 {
 
-constexpr std::uint64_t kReadersSeed = 0x66656564; ///< Any number of its own: readers are not the nodes of batches.
+/// Differs from the seed that ranks the batching nodes of pools, so that the readers are other nodes.
+constexpr std::uint64_t kReadersSeed = 0x66656564;
 
 std::uint64_t rankOf(const std::string& _node, std::uint64_t _seed)
 {
@@ -42,7 +43,7 @@
 	{
 		return readers;
 	}
-	// Half of the root: the platform is asked little, and no reader has to tell very many.
+	// Half the square root keeps both the load on the platform and the number of followers per reader low.
 	const auto root = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(readers.size())) / 2));
 	sortByRank(readers, kReadersSeed);
 	readers.resize(std::max(_config.minReaders, root));
@@ -63,7 +64,7 @@
 {
 	if (_from != this->currentSource)
 	{
-		return; // Of a node that was asked before.
+		return; // A response of a previous source.
 	}
 	this->answered = true;
 	this->sourceCanRead = _asOf.has_value();
@@ -73,7 +74,7 @@
 	}
 }
 
-/// Each node has an order of its own among the readers, so that they have about as many nodes to tell.
+/// Each node ranks the readers in its own pseudo-random order, so that they have about equally many followers.
 void FeedRelay::chooseSource(Micros _now)
 {
 	std::erase_if(this->avoidUntil, [_now](const auto& _entry) { return _entry.second <= _now; });
--- a/src/routes.cpp
+++ b/src/routes.cpp
@@ -58,7 +58,7 @@
 		return nullptr;
 	}
 	std::string_view path = _target.substr(0, _target.find('?'));
-	// Prefixes end with a slash, so that only those cuts of the path can be one.
+	// Prefixes end with a slash, so only the parts of the path up to a slash can match.
 	for (std::size_t slash = path.rfind('/'); slash != std::string_view::npos; slash = path.rfind('/'))
 	{
 		const auto found = host->second.find(path.substr(0, slash + 1));
--- a/tests/feed_world.h
+++ b/tests/feed_world.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Nodes that learn of the platform's topics from its log and from each other, in virtual time, over links that carry
-/// so many bytes a second and may be slow.
+/// Simulated nodes that receive the platform's topics from its log and from each other, in virtual time, over links of
+/// limited bandwidth and variable delay.
 
 #ifndef ROADFERRY_FEED_WORLD_H_HEADER_GUARD
 #define ROADFERRY_FEED_WORLD_H_HEADER_GUARD
@@ -17,12 +17,12 @@
 namespace roadferry
 {
 
-/// What FeedWorld is made of.
+/// Configuration of a FeedWorld.
 struct FeedWorldConfig
 {
 	int nodes = 30;
-	double linkBytesPerSecond = 1e9; ///< Of each node, outwards.
-	std::size_t recordBytes = 1'000; ///< Of one version of the routes.
+	double linkBytesPerSecond = 1e9; ///< Outgoing bandwidth of each node.
+	std::size_t recordBytes = 1'000; ///< Size of one version of the routes.
 };
 
 /// The nodes, their links and the platform's log.
@@ -33,11 +33,11 @@
 	static constexpr Micros kTickInterval = 200 * kMillisecond;
 	static constexpr Micros kReadInterval = 600 * kMillisecond;
 	static constexpr Micros kLinkLatency = 2 * kMillisecond;
-	static constexpr Micros kReadTimeout = 1'500 * kMillisecond; ///< Of a reading, beyond the time it waits.
+	static constexpr Micros kReadTimeout = 1'500 * kMillisecond; ///< Of a read, after the end of its wait.
 	static constexpr std::size_t kEntryBytes = 110;
 	static constexpr std::size_t kMessageBytes = 100;
 
-	/// One node with its readings and its outward link.
+	/// One node with the state of its reads and its outgoing link.
 	struct Node
 	{
 		std::string name;
@@ -48,13 +48,13 @@
 		std::optional<std::uint64_t> position = {};
 		Micros nextTickAt = 0;
 		Micros linkFreeAt = 0;
-		Micros extraDelay = 0;                               ///< Of everything that it sends to other nodes.
-		bool cutOff = false;                                 ///< From the platform.
-		bool isolated = false;                               ///< Nothing gets in or out.
-		Micros controlStoppedUntil = 0;                      ///< Until then its control does not run; its traffic does.
-		FeedFreshness freshness = {};                        ///< As its traffic has it.
-		Micros faultsClearedAt = 0;                          ///< When its last trouble ended.
-		std::map<std::string, Micros> observedRemovals = {}; ///< Names whose end it has read itself, and when.
+		Micros extraDelay = 0;                               ///< Added to the latency of its outgoing messages.
+		bool cutOff = false;                                 ///< Cannot reach the platform.
+		bool isolated = false;                               ///< Can neither send nor receive.
+		Micros controlStoppedUntil = 0;                      ///< Until then its control thread does not run.
+		FeedFreshness freshness = {};                        ///< As handed to its request handling.
+		Micros faultsClearedAt = 0;                          ///< When its last fault was cleared.
+		std::map<std::string, Micros> observedRemovals = {}; ///< When it read the removal of each name itself.
 	};
 
 	explicit FeedWorld(const FeedWorldConfig& _config) : config(_config)
@@ -91,7 +91,7 @@
 		this->publishTimes[this->version] = this->now;
 	}
 
-	/// @returns Newest version that was published at least so long ago.
+	/// @returns Newest version that was published at least _age ago.
 	[[nodiscard]] std::uint64_t newestVersionOlderThan(Micros _age) const
 	{
 		std::uint64_t newest = 0;
@@ -151,12 +151,12 @@
 	std::vector<Node> nodes;
 	ListingLog log;
 	Micros now = 10 * kSecond;
-	std::map<std::string, Micros> removalTimes; ///< Names that went, and when.
-	std::size_t readsStarted = 0;               ///< By all nodes so far.
-	double bytesSent = 0;                       ///< By all nodes so far.
+	std::map<std::string, Micros> removalTimes; ///< When each name was removed.
+	std::size_t readsStarted = 0;               ///< Count of StartReading actions of all nodes.
+	double bytesSent = 0;                       ///< Sum over all nodes.
 
 private:
-	/// A message on its way.
+	/// A message that was sent and not delivered yet.
 	struct InFlightMessage
 	{
 		std::string from;
@@ -246,7 +246,7 @@
 		}
 	}
 
-	/// Readings take no time while the platform answers, and a time-out while it does not.
+	/// Simulates reads, which take no time while the platform is reachable, and time out while it is not.
 	void readTopics(Node& _node)
 	{
 		if (!_node.reading)
@@ -296,7 +296,7 @@
 		this->perform(_node, _node.exchange.onEndpointsRead(read, this->now));
 	}
 
-	std::multimap<Micros, InFlightMessage> inFlight; ///< By time of arrival.
+	std::multimap<Micros, InFlightMessage> inFlight; ///< Keyed by time of arrival.
 	std::map<std::uint64_t, Micros> publishTimes;
 	std::uint64_t version = 0;
 };
--- a/tests/test_feed.cpp
+++ b/tests/test_feed.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Few nodes read the platform's topics for all: who reads, who asks whom, and what happens when news stop.
+/// Tests of the selection of readers, of nodes that follow them, and of the exchange of directory changes.
 
 #include "listing_log.h"
 #include "property.h"
@@ -26,7 +26,7 @@
 	return Endpoint{_id, "10.0.0.1:80", "pool", "north", 1, _leaving};
 }
 
-/// Nodes with relays, some of which are cut off from the platform, silent, or dead.
+/// Nodes with a FeedRelay each, which can be cut off from the platform or isolated.
 class RelayWorld
 {
 public:
@@ -42,7 +42,7 @@
 		}
 	}
 
-	/// @returns When this node's knowledge of the platform is from, at the latest.
+	/// @returns Time point up to which this node has all changes of the platform, 0 for never.
 	[[nodiscard]] Micros asOf(const std::string& _name) const
 	{
 		const auto found = this->asOfByNode.find(_name);
@@ -92,8 +92,8 @@
 	std::map<std::string, FeedRelay> nodes;
 	std::map<std::string, bool> reads;
 	std::map<std::string, Micros> asOfByNode;
-	std::set<std::string> cutOff;   ///< From the platform.
-	std::set<std::string> isolated; ///< Dead, or cut off from all.
+	std::set<std::string> cutOff;   ///< Cannot reach the platform.
+	std::set<std::string> isolated; ///< Failed, or cut off from everything.
 	Micros now = 10 * kSecond;
 };
 
@@ -141,49 +141,50 @@
 
 Test(feed_relay, nodes_that_reach_the_platform_or_a_reader_stay_current)
 {
-	checkHistories("feed_relay",
-				   []
-				   {
-					   RelayWorld world(12);
-					   const int steps = *rc::gen::inRange(1, 80);
-					   std::map<std::string, Micros> faultFreeSince; // Of nodes that could read for themselves.
-					   for (const std::string& name : world.names)
-					   {
-						   faultFreeSince[name] = world.now;
-					   }
-					   for (int step = 0; step < steps; ++step)
-					   {
-						   const std::string node = *rc::gen::elementOf(world.names);
-						   const int what = *rc::gen::inRange(0, 8);
-						   if (what == 0)
-						   {
-							   world.cutOff.insert(node);
-						   }
-						   else if (what == 1)
-						   {
-							   world.isolated.insert(node);
-						   }
-						   else if (what < 4)
-						   {
-							   world.cutOff.erase(node);
-							   world.isolated.erase(node);
-						   }
-						   world.step();
-						   for (const std::string& name : world.names)
-						   {
-							   if (world.cutOff.count(name) > 0 || world.isolated.count(name) > 0)
-							   {
-								   faultFreeSince[name] = world.now;
-							   }
-							   // One that can read is never behind by more than the news' age and two ticks.
-							   const FeedRelayConfig config;
-							   if (world.now - faultFreeSince[name] > config.staleAfter + 2 * kTickInterval)
-							   {
-								   RC_ASSERT(world.now - world.asOf(name) <= config.staleAfter + 2 * kTickInterval);
-							   }
-						   }
-					   }
-				   });
+	checkHistories(
+		"feed_relay",
+		[]
+		{
+			RelayWorld world(12);
+			const int steps = *rc::gen::inRange(1, 80);
+			std::map<std::string, Micros> faultFreeSince; // Since when each node has been able to read directly.
+			for (const std::string& name : world.names)
+			{
+				faultFreeSince[name] = world.now;
+			}
+			for (int step = 0; step < steps; ++step)
+			{
+				const std::string node = *rc::gen::elementOf(world.names);
+				const int what = *rc::gen::inRange(0, 8);
+				if (what == 0)
+				{
+					world.cutOff.insert(node);
+				}
+				else if (what == 1)
+				{
+					world.isolated.insert(node);
+				}
+				else if (what < 4)
+				{
+					world.cutOff.erase(node);
+					world.isolated.erase(node);
+				}
+				world.step();
+				for (const std::string& name : world.names)
+				{
+					if (world.cutOff.count(name) > 0 || world.isolated.count(name) > 0)
+					{
+						faultFreeSince[name] = world.now;
+					}
+					// The data of a node that can read is at most staleAfter and two ticks old.
+					const FeedRelayConfig config;
+					if (world.now - faultFreeSince[name] > config.staleAfter + 2 * kTickInterval)
+					{
+						RC_ASSERT(world.now - world.asOf(name) <= config.staleAfter + 2 * kTickInterval);
+					}
+				}
+			}
+		});
 }
 
 Test(directory_changes, follower_matches_its_source)
--- a/tests/test_feed_exchange.cpp
+++ b/tests/test_feed_exchange.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// What nodes know of the platform's topics is recent, and is never replaced by something older.
+/// Tests that a node's copy of the platform's topics is current, and is never replaced by older data.
 
 #include "feed_world.h"
 #include "property.h"
@@ -14,8 +14,8 @@
 
 using namespace roadferry;
 
-constexpr Micros kMaxChangeDelay = 3 * kSecond; ///< The bound of deployments with so many nodes.
-/// The time that a lapsed entry has to come back, and a reading and a tick after it.
+constexpr Micros kMaxChangeDelay = 3 * kSecond; ///< Required of deployments of this size.
+/// The grace period of an expired entry, one read interval and one tick.
 constexpr Micros kMaxRemovalDelay = DirectoryConfig{}.relistGrace + FeedWorld::kReadInterval + FeedWorld::kTickInterval;
 
 Endpoint endpoint(const std::string& _id, bool _leaving = false)
@@ -29,7 +29,7 @@
 	return std::any_of(all.begin(), all.end(), [&](const Endpoint& _endpoint) { return _endpoint.id == _id; });
 }
 
-/// Fails when a node lacks a change that was published longer ago than changes may take.
+/// Fails if a node lacks a change that was published more than kMaxChangeDelay ago.
 void assertChangesInForce(const FeedWorld& _world, int _change)
 {
 	for (const FeedWorld::Node& node : _world.nodes)
@@ -41,7 +41,7 @@
 
 } // namespace
 
-/// Guards against changes of routes that are late because each version queues whole behind the ones before it.
+/// Guards against late changes of the routes: over a slow link, each version queues behind all previous ones.
 Test(feed_exchange, frequent_route_changes_over_slow_links_are_in_force_in_time)
 {
 	FeedWorld world(FeedWorldConfig{80, 500'000, 16'000});
@@ -54,8 +54,7 @@
 	}
 }
 
-/// Guards against links full of versions that were replaced before they arrived, so that followers must read
-/// themselves.
+/// Guards against followers that read the platform directly because their links are full of outdated versions.
 Test(feed_exchange, frequent_route_changes_over_slow_links_cause_few_direct_reads)
 {
 	constexpr std::size_t kRecordBytes = 16'000;
@@ -69,14 +68,14 @@
 		world.publishRoutes();
 		world.runFor(300 * kMillisecond);
 	}
-	// Each node is sent each version at most once, and there is half as much for all else.
+	// Each node is sent each version at most once; half as much again is allowed for all other messages.
 	const double most = 1.5 * static_cast<double>(kRecordBytes * kChanges * world.nodes.size());
-	cr_assert_leq(world.readsStarted - begun, world.nodes.size() / 10, "%zu readings begun",
+	cr_assert_leq(world.readsStarted - begun, world.nodes.size() / 10, "%zu nodes started to read",
 				  world.readsStarted - begun);
 	cr_assert_leq(world.bytesSent - sent, most, "%.0f bytes sent", world.bytesSent - sent);
 }
 
-/// Guards against news that count as fresh although they spent seconds on their way.
+/// Guards against responses that count as fresh although they were in transit for seconds.
 Test(feed_exchange, nodes_behind_a_link_of_growing_delay_stay_current)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -94,7 +93,7 @@
 	}
 }
 
-/// Guards against a node that gets an endpoint back, which it had seen go, from a node that has read less.
+/// Guards against a removed endpoint that is restored by a node whose directory is at an older position.
 Test(feed_exchange, removed_endpoint_is_not_restored_by_a_node_at_an_older_position)
 {
 	ListingLog log;
@@ -106,11 +105,12 @@
 	EndpointDirectory ahead(DirectoryConfig{});
 	ahead.applyRead(log.whole(kSecond), kSecond);
 	ahead.merge(behind.changesSince(0), kSecond, 2 * kSecond);
-	cr_assert_eq(ahead.endpoints().size(), 1, "a listing of position %zu replaced one of position %zu",
+	cr_assert_eq(ahead.endpoints().size(), 1, "a directory at position %zu replaced one at position %zu",
 				 static_cast<std::size_t>(behind.position()), static_cast<std::size_t>(log.end()));
 }
 
-/// Guards against a reading that was under way while news came from a node that has read more: it is no newer log.
+/// Guards against a read that is taken for a restarted log because it was under way while a response of a node at a
+/// later position arrived.
 Test(feed_exchange, read_overtaken_by_a_peer_response_is_merged)
 {
 	ListingLog log;
@@ -127,7 +127,7 @@
 	cr_assert_eq(directory.position(), log.end());
 }
 
-/// Guards against a directory that takes nothing any more when the platform's log has begun anew.
+/// Guards against a directory that ignores all entries after the platform's log has restarted.
 Test(feed_exchange, restarted_log_replaces_the_held_entries)
 {
 	ListingLog before;
@@ -142,7 +142,8 @@
 	cr_assert_eq(directory.position(), anew.end());
 }
 
-/// Guards against an older listing in any order of readings and news, between three directories and against the log.
+/// Guards against older entries that replace newer ones, in any order of reads and merges. Compares three directories
+/// with the log.
 Test(feed_exchange, older_listing_never_replaces_a_newer_one)
 {
 	checkHistories("directories",
@@ -150,13 +151,13 @@
 				   {
 					   ListingLog log;
 					   std::vector<EndpointDirectory> directories(3, EndpointDirectory(DirectoryConfig{}));
-					   std::vector<std::uint64_t> known(3, 0); ///< Position up to which each knows the log.
+					   std::vector<std::uint64_t> known(3, 0); ///< Position up to which each has the log.
 					   const std::vector<std::string> names = {"e-1", "e-2", "e-3", "e-4"};
 					   Micros now = kSecond;
 					   const int steps = *rc::gen::inRange(1, 80);
 					   for (int step = 0; step < steps; ++step)
 					   {
-						   now += 10 * kMillisecond; // Too little in all for entries to lapse.
+						   now += 10 * kMillisecond; // Too short in total for a grace period.
 						   const std::string name = *rc::gen::elementOf(names);
 						   const std::size_t one = *rc::gen::inRange<std::size_t>(0, 3);
 						   const std::size_t other = *rc::gen::inRange<std::size_t>(0, 3);
@@ -197,7 +198,7 @@
 				   });
 }
 
-/// Guards against a node that reads by its turn, is turned away by the platform, and hears from nobody.
+/// Guards against a reader that cannot reach the platform and does not request changes from other nodes either.
 Test(feed_exchange, reader_cut_off_from_the_platform_follows_another_node)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -214,7 +215,8 @@
 	cr_assert_eq(reader.exchange.routes().version, world.newestVersionOlderThan(0));
 }
 
-/// Guards against entries that are kept for their return though the platform was away for other nodes only.
+/// Guards against removed entries that are kept for the grace period although only other nodes were cut off from the
+/// platform.
 Test(feed_exchange, nodes_that_can_read_drop_removed_endpoints_at_once_when_their_source_is_cut_off)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -233,7 +235,7 @@
 	}
 }
 
-/// Guards against an endpoint that starts again under its name and stays shut out because its earlier start had left.
+/// Guards against an endpoint that restarts under the same name and stays unusable because its older instance left.
 Test(feed_exchange, restarted_endpoint_is_usable_after_its_older_instance_left)
 {
 	ListingLog log;
@@ -245,8 +247,8 @@
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("e@200")});
 }
 
-/// Guards against an earlier start that comes back by a write that was held up, and against an endpoint whose clock was
-/// set back and that is shut out for good.
+/// Guards against an older instance that replaces a newer one by a delayed write, and against an endpoint that is never
+/// adopted because its clock was set back.
 Test(feed_exchange, older_instance_is_adopted_only_when_the_newer_one_stops_writing)
 {
 	const DirectoryConfig config;
@@ -267,8 +269,8 @@
 	cr_assert(directory.endpoints() == (std::vector<Endpoint>{endpoint("held-up@200"), endpoint("set-back@100")}));
 }
 
-/// Guards against starts that are mixed up by restarts, leaving, lapses and sources that lag, in two directories of
-/// which one also hears from the other, against the log.
+/// Guards against instances that are confused by restarts, leaving, removals and lagging sources. Compares two
+/// directories, of which one also merges the other, with the log.
 Test(feed_exchange, directories_agree_with_the_log_across_restarts)
 {
 	checkHistories("restarts",
@@ -281,7 +283,7 @@
 					   std::uint64_t sourcePosition = 0;
 					   std::uint64_t followerPosition = 0;
 					   const std::vector<std::string> names = {"e-1", "e-2", "e-3"};
-					   std::set<std::string> left; ///< Starts that have said so where both could read it.
+					   std::set<std::string> left; ///< Ids of instances that were listed as leaving.
 					   std::int64_t starts = 0;
 					   std::map<std::string, std::int64_t> startOf;
 					   Micros now = kSecond;
@@ -340,7 +342,7 @@
 							   }
 						   }
 					   }
-					   // When nothing is in doubt any more, both hold what the log has.
+					   // After the grace period, both hold the entries of the log.
 					   now += config.maxListingGap;
 					   source.applyRead(log.since(sourcePosition, now), now);
 					   now += config.relistGrace;
@@ -352,8 +354,7 @@
 				   });
 }
 
-/// Guards against endpoints that come back, and changes that are late, in a cluster with nodes cut off, silent and
-/// slow.
+/// Guards against restored endpoints and late changes in a cluster with cut off, isolated and slow nodes.
 Test(feed_exchange, nodes_stay_current_while_others_fail)
 {
 	constexpr int kClusterHistories = 20;
@@ -397,7 +398,7 @@
 				case 6:
 					world.log.put(endpoint("e-" + std::to_string(++endpoints)));
 					break;
-				default: // Names that were never listed do not come later.
+				default: // Removes only names that were listed before.
 					endpoints = std::max<Micros>(1, endpoints);
 					world.log.remove("e-" + std::to_string(1 + below(endpoints)));
 					break;
@@ -410,7 +411,7 @@
 					{
 						RC_ASSERT(each.exchange.routes().version >= world.newestVersionOlderThan(kMaxChangeDelay));
 					}
-					// Once seen to go, what has waited for its return is not listed again.
+					// A removal that the node has read itself takes effect after the grace period, and lasts.
 					for (const auto& gone : each.observedRemovals)
 					{
 						const Micros since = std::max(gone.second, each.faultsClearedAt);
@@ -429,8 +430,8 @@
 	cr_assert(holds);
 }
 
-/// Guards against requests that are handled by routes of any age while a node's control does not run (a starved
-/// processor, or more messages than it can take).
+/// Guards against requests that are handled by outdated routes while a node's control thread does not run, for example
+/// because it gets no processor time or too many messages.
 Test(feed_exchange, node_with_a_stalled_control_thread_does_not_use_old_routes)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -450,7 +451,7 @@
 	}
 }
 
-/// Guards against a lease that ends although all goes well: nobody would be served.
+/// Guards against a lease that expires without a fault, so that no request is handled.
 Test(feed_exchange, nodes_with_current_feeds_handle_requests)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -466,7 +467,7 @@
 	}
 }
 
-/// Guards against nodes that serve nobody while the platform is away: what they know holds then.
+/// Guards against nodes that refuse requests while the platform is unavailable: their data stays valid then.
 Test(feed_exchange, nodes_handle_requests_while_the_platform_is_unavailable)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -487,8 +488,8 @@
 	}
 }
 
-/// Guards against endpoints that renew their entries all the time, and fill the links and the processors of the nodes
-/// that tell others with entries that say nothing new.
+/// Guards against renewals without changes that are forwarded to followers: they would load the links and processors of
+/// the readers.
 Test(feed_exchange, unchanged_renewals_are_not_forwarded)
 {
 	FeedWorld world(FeedWorldConfig{});
@@ -513,7 +514,7 @@
 				  world.bytesSent - busyFrom, quiet);
 }
 
-/// Guards against a node that starts and serves by routes that another node gave it, however old they are.
+/// Guards against a starting node that handles requests by routes from another node whose age is unknown.
 Test(feed_exchange, starting_node_does_not_use_routes_of_unknown_age)
 {
 	FeedExchange exchange("10.0.1.1:1", FeedRelayConfig{}, DirectoryConfig{}, 1);
@@ -523,5 +524,6 @@
 	cr_assert(exchange.ready());
 	cr_assert(!isFeedLeaseValid(exchange.freshness(kSecond), kSecond, kMaxChangeDelay));
 	exchange.onReadFailed(FeedTopic::Routes);
-	cr_assert(isFeedLeaseValid(exchange.freshness(kSecond), kSecond, kMaxChangeDelay), "the platform is away");
+	cr_assert(isFeedLeaseValid(exchange.freshness(kSecond), kSecond, kMaxChangeDelay),
+			  "the lease holds while the platform is unavailable");
 }
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Routes against a plain search; endpoints whose listing is away.
+/// Tests of route matching against a linear search, and of endpoints during outages of the listing.
 
 #include "listing_log.h"
 #include "property.h"
@@ -22,7 +22,7 @@
 const std::vector<std::string> kPrefixes = {"/", "/a/", "/a/b/", "/a/b/c/", "/b/", "/ab/"};
 const std::vector<std::string> kPaths = {"/", "/a", "/a/", "/a/b/x", "/a/b/c/", "/b/a/", "/ab/x?q=/a/b/", "x", ""};
 
-/// Longest prefix by trying all routes.
+/// Finds the route with the longest matching prefix by trying all routes.
 const Route* searchAll(const RoutePlan& _plan, const std::string& _host, const std::string& _target)
 {
 	const std::string path = _target.substr(0, _target.find('?'));
