--- a/include/roadferry/parts/endpoints.h
+++ b/include/roadferry/parts/endpoints.h
@@ -162,10 +162,10 @@
 
 	[[nodiscard]] bool inRelistGrace(Micros _now) const;
 	void applyListed(const ListedEndpoint& _listed);
-	void applyUnlisted(const UnlistedEndpoint& _gone, Micros _now);
+	void applyUnlisted(const UnlistedEndpoint& _removal, Micros _now);
 	[[nodiscard]] std::vector<UnlistedEndpoint> entriesAbsentFrom(const std::set<std::string>& _present,
 																  std::uint64_t _position) const;
-	void dropIfOlder(const UnlistedEndpoint& _gone);
+	void dropIfOlder(const UnlistedEndpoint& _removal);
 	void resetPositions();
 	void advanceTo(std::uint64_t _position, Micros _now);
 	void advanceAsOf(Micros _asOf, Micros _now);
--- a/src/endpoint_directory.cpp
+++ b/src/endpoint_directory.cpp
@@ -132,36 +132,36 @@
 	}
 	if (_changes.isSnapshot)
 	{
-		for (const UnlistedEndpoint& gone : this->entriesAbsentFrom(present, _changes.position))
+		for (const UnlistedEndpoint& removal : this->entriesAbsentFrom(present, _changes.position))
 		{
-			this->dropIfOlder(gone);
+			this->dropIfOlder(removal);
 		}
 	}
 	this->advanceTo(_changes.position, _now);
 }
 
 /// Drops the entry with this name if its position is before the removal.
-void EndpointDirectory::dropIfOlder(const UnlistedEndpoint& _gone)
+void EndpointDirectory::dropIfOlder(const UnlistedEndpoint& _removal)
 {
-	const auto held = this->entries.find(_gone.name);
-	if (held != this->entries.end() && held->second.position < _gone.position)
+	const auto held = this->entries.find(_removal.name);
+	if (held != this->entries.end() && held->second.position < _removal.position)
 	{
-		this->missing.erase(_gone.name);
-		this->drop(_gone.name);
+		this->missing.erase(_removal.name);
+		this->drop(_removal.name);
 	}
 }
 
 /// Drops a removed entry, or keeps it as missing during the grace period, in which it may merely have expired.
-void EndpointDirectory::applyUnlisted(const UnlistedEndpoint& _gone, Micros _now)
+void EndpointDirectory::applyUnlisted(const UnlistedEndpoint& _removal, Micros _now)
 {
-	const auto held = this->entries.find(_gone.name);
-	const bool applies = held != this->entries.end() && held->second.position < _gone.position;
+	const auto held = this->entries.find(_removal.name);
+	const bool applies = held != this->entries.end() && held->second.position < _removal.position;
 	if (applies && this->inRelistGrace(_now) && !held->second.endpoint.leaving)
 	{
-		this->missing.insert(_gone.name);
+		this->missing.insert(_removal.name);
 		return;
 	}
-	this->dropIfOlder(_gone);
+	this->dropIfOlder(_removal);
 }
 
 /// @param[in] _present Names in a snapshot.
@@ -234,10 +234,10 @@
 								  present.insert(_listed.name);
 								  this->applyReadEntry(_listed, _now);
 							  },
-							  [&](const UnlistedEndpoint& _gone)
+							  [&](const UnlistedEndpoint& _removal)
 							  {
-								  this->olderInstances.erase(_gone.name);
-								  this->applyUnlisted(_gone, _now);
+								  this->olderInstances.erase(_removal.name);
+								  this->applyUnlisted(_removal, _now);
 							  },
 							  [&](const UnusableEntry& _entry)
 							  {
@@ -248,9 +248,9 @@
 	}
 	if (_read.isSnapshot)
 	{
-		for (const UnlistedEndpoint& gone : this->entriesAbsentFrom(present, _read.position))
+		for (const UnlistedEndpoint& removal : this->entriesAbsentFrom(present, _read.position))
 		{
-			this->applyUnlisted(gone, _now);
+			this->applyUnlisted(removal, _now);
 		}
 	}
 	this->advanceTo(_read.position, _now);
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -106,8 +106,8 @@
 	{
 		return 0; // An immediate answer shows the platform's recovery earlier.
 	}
-	const Micros left = kMaxAge - (this->readStartedAt - this->asOf);
-	return std::min(this->timing.pollWait, std::max(kMinPollWait, left));
+	const Micros remaining = kMaxAge - (this->readStartedAt - this->asOf);
+	return std::min(this->timing.pollWait, std::max(kMinPollWait, remaining));
 }
 
 void FeedLoop::onReadDone(const absl::StatusOr<FeedPage>& _page, bool _isSnapshot)
@@ -124,8 +124,8 @@
 	this->backoff = 0;
 	this->everRead = true;
 	// An answer without changes comes after the wait and covers that time, too.
-	const bool nothingNew = !_isSnapshot && _page->next == this->position;
-	this->asOf = this->readStartedAt + (nothingNew ? this->requestedWait : 0);
+	const bool isUnchanged = !_isSnapshot && _page->next == this->position;
+	this->asOf = this->readStartedAt + (isUnchanged ? this->requestedWait : 0);
 	this->position = _page->next;
 	this->handlers.onRead(FeedReadResult{*_page, _isSnapshot, this->asOf});
 	this->timer.start(toMs(this->timing.pause));
--- a/src/feed_loop.h
+++ b/src/feed_loop.h
@@ -35,7 +35,7 @@
 /// Callbacks of a FeedLoop, called on the control thread.
 struct FeedHandlers
 {
-	std::function<void(const FeedReadResult& _reading)> onRead;
+	std::function<void(const FeedReadResult& _result)> onRead;
 	std::function<void()> onFailed; ///< A read failed and will be retried.
 };
 
--- a/tests/feed_world.h
+++ b/tests/feed_world.h
@@ -286,9 +286,9 @@
 			_node.position ? this->log.since(*_node.position, this->now) : this->log.whole(this->now);
 		for (const ListingChange& change : read.changes)
 		{
-			if (const auto* gone = std::get_if<UnlistedEndpoint>(&change))
+			if (const auto* removal = std::get_if<UnlistedEndpoint>(&change))
 			{
-				_node.observedRemovals.emplace(gone->name, this->now);
+				_node.observedRemovals.emplace(removal->name, this->now);
 			}
 		}
 		_node.position = this->log.end();
--- a/tests/test_feed.cpp
+++ b/tests/test_feed.cpp
@@ -59,7 +59,7 @@
 				continue;
 			}
 			const FeedRelayStep step = this->nodes.at(name).tick(this->now, this->cutOff.count(name) > 0);
-			this->reads[name] = step.readsDirectly;
+			this->isReading[name] = step.readsDirectly;
 			const bool due = this->now - this->asOf(name) >= kReadInterval || this->asOf(name) == 0;
 			if (step.readsDirectly && this->cutOff.count(name) == 0 && due)
 			{
@@ -74,9 +74,9 @@
 
 	void answer(const std::string& _follower, const std::string& _source)
 	{
-		const bool canAnswer = this->reads[_source] && this->cutOff.count(_source) == 0 && this->asOf(_source) > 0;
-		const std::optional<Micros> known = canAnswer ? std::optional(this->asOf(_source)) : std::nullopt;
-		this->nodes.at(_follower).onResponse(_source, known);
+		const bool canAnswer = this->isReading[_source] && this->cutOff.count(_source) == 0 && this->asOf(_source) > 0;
+		const std::optional<Micros> sourceAsOf = canAnswer ? std::optional(this->asOf(_source)) : std::nullopt;
+		this->nodes.at(_follower).onResponse(_source, sourceAsOf);
 		if (canAnswer)
 		{
 			this->asOfByNode[_follower] = std::max(this->asOf(_follower), this->asOf(_source));
@@ -85,12 +85,13 @@
 
 	[[nodiscard]] std::ptrdiff_t readers() const
 	{
-		return std::count_if(this->reads.begin(), this->reads.end(), [](const auto& _entry) { return _entry.second; });
+		return std::count_if(this->isReading.begin(), this->isReading.end(),
+							 [](const auto& _entry) { return _entry.second; });
 	}
 
 	std::vector<std::string> names;
 	std::map<std::string, FeedRelay> nodes;
-	std::map<std::string, bool> reads;
+	std::map<std::string, bool> isReading;
 	std::map<std::string, Micros> asOfByNode;
 	std::set<std::string> cutOff;   ///< Cannot reach the platform.
 	std::set<std::string> isolated; ///< Failed, or cut off from everything.
@@ -155,16 +156,16 @@
 			for (int step = 0; step < steps; ++step)
 			{
 				const std::string node = *rc::gen::elementOf(world.names);
-				const int what = *rc::gen::inRange(0, 8);
-				if (what == 0)
+				const int action = *rc::gen::inRange(0, 8);
+				if (action == 0)
 				{
 					world.cutOff.insert(node);
 				}
-				else if (what == 1)
+				else if (action == 1)
 				{
 					world.isolated.insert(node);
 				}
-				else if (what < 4)
+				else if (action < 4)
 				{
 					world.cutOff.erase(node);
 					world.isolated.erase(node);
@@ -196,8 +197,8 @@
 					   EndpointDirectory follower(DirectoryConfig{});
 					   const std::vector<std::string> ids = {"e-1", "e-2", "e-3", "e-4"};
 					   ListingLog log;
-					   std::uint64_t known = 0;
-					   std::uint64_t held = 0;
+					   std::uint64_t readPosition = 0;
+					   std::uint64_t heldRevision = 0;
 					   Micros now = kSecond;
 					   const int steps = *rc::gen::inRange(1, 60);
 					   for (int step = 0; step < steps; ++step)
@@ -213,21 +214,21 @@
 							   source.markLeaving(id);
 							   break;
 						   case 2:
-							   source.applyRead(log.since(std::exchange(known, log.end()), now), now);
+							   source.applyRead(log.since(std::exchange(readPosition, log.end()), now), now);
 							   break;
 						   case 3:
 							   source.expire(now);
 							   break;
 						   default:
 							   log.put(endpoint(id, *rc::gen::inRange(0, 4) == 0));
-							   source.applyRead(log.since(std::exchange(known, log.end()), now), now);
+							   source.applyRead(log.since(std::exchange(readPosition, log.end()), now), now);
 							   break;
 						   }
 						   if (*rc::gen::inRange(0, 3) == 0)
 						   {
-							   const DirectoryChanges changes = source.changesSince(held);
+							   const DirectoryChanges changes = source.changesSince(heldRevision);
 							   follower.merge(changes, now, now);
-							   held = changes.revision;
+							   heldRevision = changes.revision;
 							   RC_ASSERT(follower.endpoints() == source.endpoints());
 						   }
 					   }
@@ -240,16 +241,16 @@
 	ListingLog log;
 	log.put(endpoint("stays"));
 	source.applyRead(log.since(0, kSecond), kSecond);
-	const std::uint64_t held = source.changesSince(0).revision;
+	const std::uint64_t heldRevision = source.changesSince(0).revision;
 	for (int index = 0; index < 1'200; ++index)
 	{
 		const std::string id = "e-" + std::to_string(index);
-		const std::uint64_t known = log.end();
+		const std::uint64_t readPosition = log.end();
 		log.put(endpoint(id));
 		log.remove(id);
-		source.applyRead(log.since(known, kSecond), kSecond);
+		source.applyRead(log.since(readPosition, kSecond), kSecond);
 	}
-	const DirectoryChanges changes = source.changesSince(held);
+	const DirectoryChanges changes = source.changesSince(heldRevision);
 	cr_assert(changes.isSnapshot);
 	cr_assert_eq(changes.listed.size(), 1);
 	cr_assert(source.changesSince(changes.revision).listed.empty());
--- a/tests/test_feed_exchange.cpp
+++ b/tests/test_feed_exchange.cpp
@@ -23,7 +23,7 @@
 	return Endpoint{_id, "10.0.0.1:80", "pool", "north", 1, _leaving};
 }
 
-bool lists(const FeedExchange& _exchange, const std::string& _id)
+bool isListed(const FeedExchange& _exchange, const std::string& _id)
 {
 	const std::vector<Endpoint> all = _exchange.endpoints().endpoints();
 	return std::any_of(all.begin(), all.end(), [&](const Endpoint& _endpoint) { return _endpoint.id == _id; });
@@ -61,18 +61,18 @@
 	constexpr int kChanges = 60;
 	FeedWorld world(FeedWorldConfig{80, 700'000, kRecordBytes});
 	world.runFor(5 * kSecond);
-	const std::size_t begun = world.readsStarted;
-	const double sent = world.bytesSent;
+	const std::size_t startedBefore = world.readsStarted;
+	const double sentBefore = world.bytesSent;
 	for (int change = 0; change < kChanges; ++change)
 	{
 		world.publishRoutes();
 		world.runFor(300 * kMillisecond);
 	}
 	// Each node is sent each version at most once; half as much again is allowed for all other messages.
-	const double most = 1.5 * static_cast<double>(kRecordBytes * kChanges * world.nodes.size());
-	cr_assert_leq(world.readsStarted - begun, world.nodes.size() / 10, "%zu nodes started to read",
-				  world.readsStarted - begun);
-	cr_assert_leq(world.bytesSent - sent, most, "%.0f bytes sent", world.bytesSent - sent);
+	const double maxBytes = 1.5 * static_cast<double>(kRecordBytes * kChanges * world.nodes.size());
+	cr_assert_leq(world.readsStarted - startedBefore, world.nodes.size() / 10, "%zu nodes started to read",
+				  world.readsStarted - startedBefore);
+	cr_assert_leq(world.bytesSent - sentBefore, maxBytes, "%.0f bytes sent", world.bytesSent - sentBefore);
 }
 
 /// Guards against responses that count as fresh although they were in transit for seconds.
@@ -135,11 +135,11 @@
 	before.put(endpoint("second"));
 	EndpointDirectory directory(DirectoryConfig{});
 	directory.applyRead(before.whole(kSecond), kSecond);
-	ListingLog anew;
-	anew.put(endpoint("third"));
-	directory.applyRead(anew.whole(2 * kSecond), 2 * kSecond);
+	ListingLog restarted;
+	restarted.put(endpoint("third"));
+	directory.applyRead(restarted.whole(2 * kSecond), 2 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("third")});
-	cr_assert_eq(directory.position(), anew.end());
+	cr_assert_eq(directory.position(), restarted.end());
 }
 
 /// Guards against older entries that replace newer ones, in any order of reads and merges. Compares three directories
@@ -151,7 +151,7 @@
 				   {
 					   ListingLog log;
 					   std::vector<EndpointDirectory> directories(3, EndpointDirectory(DirectoryConfig{}));
-					   std::vector<std::uint64_t> known(3, 0); ///< Position up to which each has the log.
+					   std::vector<std::uint64_t> positions(3, 0); ///< Position up to which each has the log.
 					   const std::vector<std::string> names = {"e-1", "e-2", "e-3", "e-4"};
 					   Micros now = kSecond;
 					   const int steps = *rc::gen::inRange(1, 80);
@@ -173,22 +173,22 @@
 							   log.put(name, endpoint(name + "/" + std::to_string(log.end())));
 							   break;
 						   case 2:
-							   directories[one].applyRead(log.since(known[one], now), now);
-							   known[one] = log.end();
+							   directories[one].applyRead(log.since(positions[one], now), now);
+							   positions[one] = log.end();
 							   break;
 						   case 3:
 							   directories[one].applyRead(log.whole(now), now);
-							   known[one] = log.end();
+							   positions[one] = log.end();
 							   break;
 						   default:
 							   directories[one].merge(directories[other].changesSince(0), now, now);
-							   known[one] = std::max(known[one], known[other]);
+							   positions[one] = std::max(positions[one], positions[other]);
 							   break;
 						   }
 						   for (std::size_t index = 0; index < directories.size(); ++index)
 						   {
 							   std::vector<Endpoint> expected;
-							   for (const auto& entry : log.present(known[index]))
+							   for (const auto& entry : log.present(positions[index]))
 							   {
 								   expected.push_back(entry.second.endpoint);
 							   }
@@ -205,13 +205,13 @@
 	world.list(endpoint("goes"));
 	world.runFor(3 * kSecond);
 	FeedWorld::Node& reader = world.node(world.readers().front());
-	cr_assert(lists(reader.exchange, "goes"));
+	cr_assert(isListed(reader.exchange, "goes"));
 	reader.cutOff = true;
 	world.runFor(2 * kSecond);
 	world.unlist("goes");
 	world.publishRoutes();
 	world.runFor(kMaxChangeDelay);
-	cr_assert_not(lists(reader.exchange, "goes"));
+	cr_assert_not(isListed(reader.exchange, "goes"));
 	cr_assert_eq(reader.exchange.routes().version, world.newestVersionOlderThan(0));
 }
 
@@ -231,7 +231,7 @@
 	world.runFor(FeedWorld::kReadInterval + 2 * FeedWorld::kTickInterval);
 	for (const FeedWorld::Node& node : world.nodes)
 	{
-		cr_assert(node.cutOff || !lists(node.exchange, "goes"), "%s", node.name.c_str());
+		cr_assert(node.cutOff || !isListed(node.exchange, "goes"), "%s", node.name.c_str());
 	}
 }
 
@@ -259,13 +259,13 @@
 	directory.applyRead(log.whole(kSecond), kSecond);
 	log.put("held-up", endpoint("held-up@100"), 100);
 	log.put("set-back", endpoint("set-back@100"), 100);
-	const Micros read = 2 * kSecond;
-	directory.applyRead(log.since(2, read), read);
+	const Micros readAt = 2 * kSecond;
+	directory.applyRead(log.since(2, readAt), readAt);
 	cr_assert_eq(directory.endpoints().front(), endpoint("held-up@200"));
 	log.put("held-up", endpoint("held-up@200"), 200);
-	directory.applyRead(log.since(4, read + kSecond), read + kSecond);
-	cr_assert_not(directory.expire(read + config.olderInstanceGrace - 1));
-	cr_assert(directory.expire(read + config.olderInstanceGrace));
+	directory.applyRead(log.since(4, readAt + kSecond), readAt + kSecond);
+	cr_assert_not(directory.expire(readAt + config.olderInstanceGrace - 1));
+	cr_assert(directory.expire(readAt + config.olderInstanceGrace));
 	cr_assert(directory.endpoints() == (std::vector<Endpoint>{endpoint("held-up@200"), endpoint("set-back@100")}));
 }
 
@@ -358,10 +358,10 @@
 Test(feed_exchange, nodes_stay_current_while_others_fail)
 {
 	constexpr int kClusterHistories = 20;
-	const char* given = std::getenv("ROADFERRY_HISTORIES");
-	const std::string histories = given == nullptr ? std::to_string(kClusterHistories) : given;
+	const char* historiesSetting = std::getenv("ROADFERRY_HISTORIES");
+	const std::string histories = historiesSetting == nullptr ? std::to_string(kClusterHistories) : historiesSetting;
 	setenv("RC_PARAMS", ("seed=20261204 max_success=" + histories).c_str(), 1);
-	const auto below = [](Micros _limit)
+	const auto randomBelow = [](Micros _limit)
 	{ return *rc::gen::noShrink(rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Micros>(0, _limit))); };
 	const bool holds = rc::check(
 		"cluster",
@@ -373,8 +373,8 @@
 			Micros endpoints = 0;
 			for (int step = 0; step < 60; ++step)
 			{
-				FeedWorld::Node& node = world.nodes[static_cast<std::size_t>(below(24))];
-				switch (below(9))
+				FeedWorld::Node& node = world.nodes[static_cast<std::size_t>(randomBelow(24))];
+				switch (randomBelow(9))
 				{
 				case 0:
 					node.cutOff = true;
@@ -383,7 +383,7 @@
 					node.isolated = true;
 					break;
 				case 2:
-					node.extraDelay = below(5 * kSecond);
+					node.extraDelay = randomBelow(5 * kSecond);
 					break;
 				case 3:
 				case 4:
@@ -400,10 +400,10 @@
 					break;
 				default: // Removes only names that were listed before.
 					endpoints = std::max<Micros>(1, endpoints);
-					world.log.remove("e-" + std::to_string(1 + below(endpoints)));
+					world.log.remove("e-" + std::to_string(1 + randomBelow(endpoints)));
 					break;
 				}
-				world.runFor(below(600 * kMillisecond));
+				world.runFor(randomBelow(600 * kMillisecond));
 				for (const FeedWorld::Node& each : world.nodes)
 				{
 					const bool isFaulty = each.cutOff || each.isolated || each.extraDelay > 0;
@@ -412,17 +412,17 @@
 						RC_ASSERT(each.exchange.routes().version >= world.newestVersionOlderThan(kMaxChangeDelay));
 					}
 					// A removal that the node has read itself takes effect after the grace period, and lasts.
-					for (const auto& gone : each.observedRemovals)
+					for (const auto& removal : each.observedRemovals)
 					{
-						const Micros since = std::max(gone.second, each.faultsClearedAt);
+						const Micros since = std::max(removal.second, each.faultsClearedAt);
 						const bool isOverdue = !isFaulty && world.now - since > kMaxRemovalDelay;
-						RC_ASSERT(!isOverdue || !lists(each.exchange, gone.first));
+						RC_ASSERT(!isOverdue || !isListed(each.exchange, removal.first));
 					}
-					for (const auto& gone : world.removalTimes)
+					for (const auto& removal : world.removalTimes)
 					{
-						const Micros since = std::max(gone.second, each.faultsClearedAt + kMaxChangeDelay);
+						const Micros since = std::max(removal.second, each.faultsClearedAt + kMaxChangeDelay);
 						const bool isOverdue = !isFaulty && world.now - since > kMaxChangeDelay;
-						RC_ASSERT(!isOverdue || !lists(each.exchange, gone.first));
+						RC_ASSERT(!isOverdue || !isListed(each.exchange, removal.first));
 					}
 				}
 			}
@@ -498,10 +498,10 @@
 		world.list(endpoint("endpoint-" + std::to_string(index)));
 	}
 	world.runFor(5 * kSecond);
-	const double quietFrom = world.bytesSent;
+	const double sentBeforeQuiet = world.bytesSent;
 	world.runFor(5 * kSecond);
-	const double quiet = world.bytesSent - quietFrom;
-	const double busyFrom = world.bytesSent;
+	const double quiet = world.bytesSent - sentBeforeQuiet;
+	const double sentBeforeRenewals = world.bytesSent;
 	for (int round = 0; round < 5; ++round)
 	{
 		for (int index = 0; index < 300; ++index)
@@ -510,8 +510,8 @@
 		}
 		world.runFor(kSecond);
 	}
-	cr_assert_leq(world.bytesSent - busyFrom, 1.1 * quiet, "%.0f bytes, and %.0f without renewals",
-				  world.bytesSent - busyFrom, quiet);
+	cr_assert_leq(world.bytesSent - sentBeforeRenewals, 1.1 * quiet, "%.0f bytes, and %.0f without renewals",
+				  world.bytesSent - sentBeforeRenewals, quiet);
 }
 
 /// Guards against a starting node that handles requests by routes from another node whose age is unknown.
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -112,9 +112,9 @@
 	Route route;
 	route.pools = {PoolShare{"a", 90}, PoolShare{"b", 10}, PoolShare{"never", 0}};
 	std::map<std::string, int> counts;
-	for (std::uint64_t draw = 0; draw < 1'000; ++draw)
+	for (std::uint64_t random = 0; random < 1'000; ++random)
 	{
-		counts[choosePool(route, draw * (~std::uint64_t{0} / 1'000))] += 1;
+		counts[choosePool(route, random * (~std::uint64_t{0} / 1'000))] += 1;
 	}
 	cr_assert_eq(counts["a"], 900);
 	cr_assert_eq(counts["b"], 100);
@@ -143,13 +143,13 @@
 	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
 	log.remove("e-2");
-	const Micros back = 10 * kSecond;
-	directory.applyRead(log.whole(back), back);
+	const Micros availableAt = 10 * kSecond;
+	directory.applyRead(log.whole(availableAt), availableAt);
 	cr_assert_eq(usableIds(directory).size(), 2);
 	log.put(endpoint("e-1"));
-	directory.applyRead(log.since(4, back + kSecond), back + kSecond);
-	cr_assert_not(directory.expire(back + 1'900 * kMillisecond));
-	cr_assert(directory.expire(back + 2 * kSecond));
+	directory.applyRead(log.since(4, availableAt + kSecond), availableAt + kSecond);
+	cr_assert_not(directory.expire(availableAt + 1'900 * kMillisecond));
+	cr_assert(directory.expire(availableAt + 2 * kSecond));
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-1"});
 }
 
@@ -159,12 +159,12 @@
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	directory.applyRead(log.whole(kSecond), kSecond);
-	const Micros back = 10 * kSecond;
-	directory.applyRead(log.since(1, back), back);
+	const Micros availableAt = 10 * kSecond;
+	directory.applyRead(log.since(1, availableAt), availableAt);
 	log.remove("e-1");
-	directory.applyRead(log.since(1, back + 1'800 * kMillisecond), back + 1'800 * kMillisecond);
+	directory.applyRead(log.since(1, availableAt + 1'800 * kMillisecond), availableAt + 1'800 * kMillisecond);
 	cr_assert_eq(usableIds(directory).size(), 1);
-	cr_assert(directory.expire(back + 2 * kSecond));
+	cr_assert(directory.expire(availableAt + 2 * kSecond));
 	cr_assert(usableIds(directory).empty());
 }
 
@@ -186,9 +186,9 @@
 				   {
 					   EndpointDirectory directory(DirectoryConfig{});
 					   ListingLog log;
-					   std::uint64_t known = 0;
-					   const auto readOn = [&](Micros _now)
-					   { directory.applyRead(log.since(std::exchange(known, log.end()), _now), _now); };
+					   std::uint64_t readPosition = 0;
+					   const auto readChanges = [&](Micros _now)
+					   { directory.applyRead(log.since(std::exchange(readPosition, log.end()), _now), _now); };
 					   const std::vector<std::string> ids = {"e-1", "e-2", "e-3"};
 					   std::set<std::string> left;
 					   Micros now = kSecond;
@@ -201,11 +201,11 @@
 						   {
 						   case 0:
 							   log.put(endpoint(id));
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   case 1:
 							   log.put(endpoint(id, true));
-							   readOn(now);
+							   readChanges(now);
 							   left.insert(id);
 							   break;
 						   case 2:
@@ -214,10 +214,10 @@
 							   break;
 						   case 3:
 							   log.remove(id);
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   case 4:
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   default:
 							   directory.expire(now);
