--- a/include/roadferry/parts/feed_exchange.h
+++ b/include/roadferry/parts/feed_exchange.h
@@ -137,8 +137,8 @@
 	FeedActions mergePeerEndpoints(const std::vector<ListedEndpoint>& _endpoints,
 								   const std::vector<std::string>& _leaving, Micros _now);
 
-	/// @returns How long a read of the routes should wait for a change. Bounds how late a silent connection is noticed,
-	/// and the age of the data that followers get.
+	/// @returns How long a read of the routes should wait for a change. The wait bounds how late a silent connection is
+	/// noticed, and how old the data is that followers get.
 	[[nodiscard]] Micros routesPollWait() const;
 
 	/// @returns Whether routes and endpoints are known.
--- a/include/roadferry/parts/feed_relay.h
+++ b/include/roadferry/parts/feed_relay.h
@@ -20,8 +20,8 @@
 namespace roadferry
 {
 
-/// Requests changes from a node that reads the platform's topics. The node responds as soon as there is a change, or
-/// with an empty response after FeedRelayConfig::maxRequestHold. The next request acknowledges what has arrived.
+/// Requests changes from a node that reads the platform's topics. The node responds as soon as there is a change, and
+/// after FeedRelayConfig::maxRequestHold at the latest. The next request acknowledges what has arrived.
 struct FeedRequest
 {
 	std::uint64_t version = 0;     ///< Version of the routes that the sender holds, 0 for none.
@@ -53,8 +53,9 @@
 	Micros maxRequestHold = 200 * kMillisecond;    ///< Longest wait of a request for a change; the keepalive period.
 	Micros responseTimeout = 800 * kMillisecond;   ///< Until a request is repeated.
 	Micros minRequestInterval = 50 * kMillisecond; ///< Shortest time between two requests.
-	Micros staleAfter = 1'500 * kMillisecond; ///< Changes have to be in force within 2 s after the platform has them.
-	Micros routesPollWait = kSecond;          ///< Longest wait of a read of the routes for a change.
+	/// Age from which a source's data is stale: changes have to be in force within 2 s after the platform has them.
+	Micros staleAfter = 1'500 * kMillisecond;
+	Micros routesPollWait = kSecond; ///< Longest wait of a read of the routes for a change.
 	/// The same at a node with followers, whose data is no newer than the last completed read of this node.
 	Micros routesPollWaitForFollowers = 400 * kMillisecond;
 	Micros avoidFor = 5 * kSecond;                 ///< How long a source with stale data is not chosen again.
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -123,7 +123,7 @@
 	}
 	this->backoff = 0;
 	this->everRead = true;
-	// An answer without changes comes after the wait and covers that time, too.
+	// The platform answers without changes only after the wait, and the answer covers that time, too.
 	const bool isUnchanged = !_isSnapshot && _page->next == this->position;
 	this->asOf = this->readStartedAt + (isUnchanged ? this->requestedWait : 0);
 	this->position = _page->next;
