--- a/src/piece_messages.h
+++ b/src/piece_messages.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// CBOR form of the messages about pieces.
+/// CBOR encoding of the messages about pieces.
 
 #ifndef ROADFERRY_PIECE_MESSAGES_H_HEADER_GUARD
 #define ROADFERRY_PIECE_MESSAGES_H_HEADER_GUARD
@@ -16,14 +16,14 @@
 namespace roadferry
 {
 
-QCborMap toCbor(const PieceAsk& _message);
-QCborMap toCbor(const PieceGive& _message);
-QCborMap toCbor(const PieceDrop& _message);
+QCborMap toCbor(const PieceSubmit& _message);
+QCborMap toCbor(const PieceUpdate& _message);
+QCborMap toCbor(const PieceCancel& _message);
 QCborMap toCbor(const PieceFree& _message);
 
-/// Faults are kept by the reader.
-PieceAsk readPieceAsk(CborReader& _reader);
-PieceGive readPieceGive(CborReader& _reader);
+/// Errors are recorded in the reader.
+PieceSubmit readPieceSubmit(CborReader& _reader);
+PieceUpdate readPieceUpdate(CborReader& _reader);
 
 } // namespace roadferry
 
