--- a/src/feed_relay.cpp
+++ b/src/feed_relay.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Decides which nodes read the platform's topics, and whom the others ask.
+/// Selection of the nodes that read the platform's topics, and of the source of every other node.
 
 #include <roadferry/parts/feed_relay.h>
 
@@ -19,7 +19,8 @@
 namespace
 {
 
-constexpr std::uint64_t kReadersSeed = 0x66656564; ///< Any number of its own: readers are not the nodes of batches.
+/// Differs from the seed that ranks the batching nodes of pools, so that the readers are other nodes.
+constexpr std::uint64_t kReadersSeed = 0x66656564;
 
 std::uint64_t rankOf(const std::string& _node, std::uint64_t _seed)
 {
@@ -35,17 +36,17 @@
 
 } // namespace
 
-std::vector<std::string> feedReadersOf(const std::vector<std::string>& _members, const FeedRelayConfig& _config)
+std::vector<std::string> selectFeedReaders(const std::vector<std::string>& _members, const FeedRelayConfig& _config)
 {
 	std::vector<std::string> readers = _members;
-	if (readers.size() <= _config.eachReadsUpTo)
+	if (readers.size() <= _config.maxNodesAllReading)
 	{
 		return readers;
 	}
-	// Half of the root: the platform is asked little, and no reader has to tell very many.
+	// Half the square root keeps both the load on the platform and the number of followers per reader low.
 	const auto root = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(readers.size())) / 2));
 	sortByRank(readers, kReadersSeed);
-	readers.resize(std::max(_config.readersLeast, root));
+	readers.resize(std::max(_config.minReaders, root));
 	return readers;
 }
 
@@ -56,24 +57,24 @@
 
 void FeedRelay::setMembers(const std::vector<std::string>& _members)
 {
-	this->readers = feedReadersOf(_members, this->config);
+	this->readers = selectFeedReaders(_members, this->config);
 }
 
-void FeedRelay::heard(const std::string& _from, const std::optional<Micros>& _knownAt)
+void FeedRelay::onResponse(const std::string& _from, const std::optional<Micros>& _asOf)
 {
-	if (_from != this->from)
+	if (_from != this->currentSource)
 	{
-		return; // Of a node that was asked before.
+		return; // A response of a previous source.
 	}
 	this->answered = true;
-	this->told = _knownAt.has_value();
-	if (_knownAt)
+	this->sourceCanRead = _asOf.has_value();
+	if (_asOf)
 	{
-		this->knownAt = std::max(this->knownAt.value_or(*_knownAt), *_knownAt);
+		this->asOf = std::max(this->asOf.value_or(*_asOf), *_asOf);
 	}
 }
 
-/// Each node has an order of its own among the readers, so that they have about as many nodes to tell.
+/// Each node ranks the readers in its own pseudo-random order, so that they have about equally many followers.
 void FeedRelay::chooseSource(Micros _now)
 {
 	std::erase_if(this->avoidUntil, [_now](const auto& _entry) { return _entry.second <= _now; });
@@ -82,54 +83,54 @@
 				  { return _reader == this->self || this->avoidUntil.count(_reader) > 0; });
 	sortByRank(candidates, rankOf(this->self, kReadersSeed));
 	const std::string chosen = candidates.empty() ? std::string() : candidates.front();
-	if (chosen != this->from)
+	if (chosen != this->currentSource)
 	{
-		this->from = chosen;
-		this->told = true;
-		this->followedAt = _now;
-		this->askedAt.reset();
+		this->currentSource = chosen;
+		this->sourceCanRead = true;
+		this->sourceChosenAt = _now;
+		this->requestedAt.reset();
 	}
 }
 
-FeedRelayStep FeedRelay::tick(Micros _now, bool _lost)
+FeedRelayStep FeedRelay::tick(Micros _now, bool _cannotRead)
 {
-	const bool reads = std::find(this->readers.begin(), this->readers.end(), this->self) != this->readers.end();
-	if (reads && !_lost)
+	const bool isReader = std::find(this->readers.begin(), this->readers.end(), this->self) != this->readers.end();
+	if (isReader && !_cannotRead)
 	{
-		this->from.clear();
-		this->told = true;
-		this->knownAt.reset();
+		this->currentSource.clear();
+		this->sourceCanRead = true;
+		this->asOf.reset();
 		return FeedRelayStep{true, {}};
 	}
-	const bool fresh = this->knownAt && _now - *this->knownAt <= this->config.staleAfter;
-	if (!fresh && !this->from.empty() && _now - this->followedAt > this->config.staleAfter)
+	const bool fresh = this->asOf && _now - *this->asOf <= this->config.staleAfter;
+	if (!fresh && !this->currentSource.empty() && _now - this->sourceChosenAt > this->config.staleAfter)
 	{
-		this->avoidUntil[this->from] = _now + this->config.avoidFor;
+		this->avoidUntil[this->currentSource] = _now + this->config.avoidFor;
 	}
 	this->chooseSource(_now);
-	return FeedRelayStep{reads || !fresh, this->dueAsk(_now)};
+	return FeedRelayStep{isReader || !fresh, this->startDueRequest(_now)};
 }
 
-std::string FeedRelay::dueAsk(Micros _now)
+std::string FeedRelay::startDueRequest(Micros _now)
 {
-	const Micros pause = this->answered ? this->config.askPause : this->config.askAgainAfter;
-	if (this->from.empty() || (this->askedAt && _now - *this->askedAt < pause))
+	const Micros minDelay = this->answered ? this->config.minRequestInterval : this->config.responseTimeout;
+	if (this->currentSource.empty() || (this->requestedAt && _now - *this->requestedAt < minDelay))
 	{
 		return {};
 	}
-	this->askedAt = _now;
+	this->requestedAt = _now;
 	this->answered = false;
-	return this->from;
+	return this->currentSource;
 }
 
-bool FeedRelay::sourceAway() const
+bool FeedRelay::sourceUnavailable() const
 {
-	return !this->from.empty() && !this->told;
+	return !this->currentSource.empty() && !this->sourceCanRead;
 }
 
 const std::string& FeedRelay::source() const
 {
-	return this->from;
+	return this->currentSource;
 }
 
 } // namespace roadferry
--- a/tests/test_feed_exchange.cpp
+++ b/tests/test_feed_exchange.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// What nodes know of the platform's topics is recent, and is never replaced by something older.
+/// Tests that a node's copy of the platform's topics is current, and is never replaced by older data.
 
 #include "feed_world.h"
 #include "property.h"
@@ -14,35 +14,35 @@
 
 using namespace roadferry;
 
-constexpr Micros kInForceWithin = 3 * kSecond; ///< The bound of deployments with so many nodes.
-/// The time that a lapsed entry has to come back, and a reading and a tick after it.
-constexpr Micros kSeenGoneWithin = DirectoryConfig{}.relistGrace + FeedWorld::kReadEvery + FeedWorld::kTick;
+constexpr Micros kMaxChangeDelay = 3 * kSecond; ///< Required of deployments of this size.
+/// The grace period of an expired entry, one read interval and one tick.
+constexpr Micros kMaxRemovalDelay = DirectoryConfig{}.relistGrace + FeedWorld::kReadInterval + FeedWorld::kTickInterval;
 
 Endpoint endpoint(const std::string& _id, bool _leaving = false)
 {
 	return Endpoint{_id, "10.0.0.1:80", "pool", "north", 1, _leaving};
 }
 
-bool lists(const FeedExchange& _exchange, const std::string& _id)
+bool isListed(const FeedExchange& _exchange, const std::string& _id)
 {
 	const std::vector<Endpoint> all = _exchange.endpoints().endpoints();
 	return std::any_of(all.begin(), all.end(), [&](const Endpoint& _endpoint) { return _endpoint.id == _id; });
 }
 
-/// Fails when a node lacks a change that was published longer ago than changes may take.
-void assertInForce(const FeedWorld& _world, int _change)
+/// Fails if a node lacks a change that was published more than kMaxChangeDelay ago.
+void assertChangesInForce(const FeedWorld& _world, int _change)
 {
 	for (const FeedWorld::Node& node : _world.nodes)
 	{
-		cr_assert_geq(node.exchange.routes().version, _world.versionBefore(kInForceWithin), "%s, change %d",
+		cr_assert_geq(node.exchange.routes().version, _world.newestVersionOlderThan(kMaxChangeDelay), "%s, change %d",
 					  node.name.c_str(), _change);
 	}
 }
 
 } // namespace
 
-/// Guards against changes of routes that are late because each version queues whole behind the ones before it.
-Test(feed_exchange, quick_changes_over_narrow_links_are_in_force_in_time)
+/// Guards against late changes of the routes: over a slow link, each version queues behind all previous ones.
+Test(feed_exchange, frequent_route_changes_over_slow_links_are_in_force_in_time)
 {
 	FeedWorld world(FeedWorldConfig{80, 500'000, 16'000});
 	world.runFor(5 * kSecond);
@@ -50,34 +50,33 @@
 	{
 		world.publishRoutes();
 		world.runFor(300 * kMillisecond);
-		assertInForce(world, change);
+		assertChangesInForce(world, change);
 	}
 }
 
-/// Guards against links full of versions that were replaced before they arrived, so that followers must read
-/// themselves.
-Test(feed_exchange, quick_changes_over_narrow_links_leave_the_platform_to_its_readers)
+/// Guards against followers that read the platform directly because their links are full of outdated versions.
+Test(feed_exchange, frequent_route_changes_over_slow_links_cause_few_direct_reads)
 {
 	constexpr std::size_t kRecordBytes = 16'000;
 	constexpr int kChanges = 60;
 	FeedWorld world(FeedWorldConfig{80, 700'000, kRecordBytes});
 	world.runFor(5 * kSecond);
-	const std::size_t begun = world.readingsBegun;
-	const double sent = world.bytesSent;
+	const std::size_t startedBefore = world.readsStarted;
+	const double sentBefore = world.bytesSent;
 	for (int change = 0; change < kChanges; ++change)
 	{
 		world.publishRoutes();
 		world.runFor(300 * kMillisecond);
 	}
-	// Each node is sent each version at most once, and there is half as much for all else.
-	const double most = 1.5 * static_cast<double>(kRecordBytes * kChanges * world.nodes.size());
-	cr_assert_leq(world.readingsBegun - begun, world.nodes.size() / 10, "%zu readings begun",
-				  world.readingsBegun - begun);
-	cr_assert_leq(world.bytesSent - sent, most, "%.0f bytes sent", world.bytesSent - sent);
+	// Each node is sent each version at most once; half as much again is allowed for all other messages.
+	const double maxBytes = 1.5 * static_cast<double>(kRecordBytes * kChanges * world.nodes.size());
+	cr_assert_leq(world.readsStarted - startedBefore, world.nodes.size() / 10, "%zu nodes started to read",
+				  world.readsStarted - startedBefore);
+	cr_assert_leq(world.bytesSent - sentBefore, maxBytes, "%.0f bytes sent", world.bytesSent - sentBefore);
 }
 
-/// Guards against news that count as fresh although they spent seconds on their way.
-Test(feed_exchange, nodes_that_hear_over_a_link_that_fills_up_are_not_late)
+/// Guards against responses that count as fresh although they were in transit for seconds.
+Test(feed_exchange, nodes_behind_a_link_of_growing_delay_stay_current)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.runFor(3 * kSecond);
@@ -90,28 +89,29 @@
 		}
 		world.publishRoutes();
 		world.runFor(200 * kMillisecond);
-		assertInForce(world, change);
+		assertChangesInForce(world, change);
 	}
 }
 
-/// Guards against a node that gets an endpoint back, which it had seen go, from a node that has read less.
-Test(feed_exchange, endpoint_seen_to_go_is_not_taken_back_from_a_node_that_has_read_less)
+/// Guards against a removed endpoint that is restored by a node whose directory is at an older position.
+Test(feed_exchange, removed_endpoint_is_not_restored_by_a_node_at_an_older_position)
 {
 	ListingLog log;
 	log.put(endpoint("stays"));
 	log.put(endpoint("goes"));
 	EndpointDirectory behind(DirectoryConfig{});
-	behind.read(log.whole(kSecond), kSecond);
+	behind.applyRead(log.whole(kSecond), kSecond);
 	log.remove("goes");
 	EndpointDirectory ahead(DirectoryConfig{});
-	ahead.read(log.whole(kSecond), kSecond);
-	ahead.take(behind.changesSince(0), kSecond, 2 * kSecond);
-	cr_assert_eq(ahead.endpoints().size(), 1, "a listing of position %zu replaced one of position %zu",
+	ahead.applyRead(log.whole(kSecond), kSecond);
+	ahead.merge(behind.changesSince(0), kSecond, 2 * kSecond);
+	cr_assert_eq(ahead.endpoints().size(), 1, "a directory at position %zu replaced one at position %zu",
 				 static_cast<std::size_t>(behind.position()), static_cast<std::size_t>(log.end()));
 }
 
-/// Guards against a reading that was under way while news came from a node that has read more: it is no newer log.
-Test(feed_exchange, reading_that_was_overtaken_by_news_is_merged)
+/// Guards against a read that is taken for a restarted log because it was under way while a response of a node at a
+/// later position arrived.
+Test(feed_exchange, read_overtaken_by_a_peer_response_is_merged)
 {
 	ListingLog log;
 	log.put(endpoint("goes"));
@@ -119,30 +119,31 @@
 	log.remove("goes");
 	log.put(endpoint("comes"));
 	EndpointDirectory other(DirectoryConfig{});
-	other.read(log.whole(2 * kSecond), 2 * kSecond);
+	other.applyRead(log.whole(2 * kSecond), 2 * kSecond);
 	EndpointDirectory directory(DirectoryConfig{});
-	directory.take(other.changesSince(0), 2 * kSecond, 2 * kSecond);
-	directory.read(overtaken, 3 * kSecond);
+	directory.merge(other.changesSince(0), 2 * kSecond, 2 * kSecond);
+	directory.applyRead(overtaken, 3 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("comes")});
 	cr_assert_eq(directory.position(), log.end());
 }
 
-/// Guards against a directory that takes nothing any more when the platform's log has begun anew.
-Test(feed_exchange, log_that_begins_anew_replaces_what_was_held)
+/// Guards against a directory that ignores all entries after the platform's log has restarted.
+Test(feed_exchange, restarted_log_replaces_the_held_entries)
 {
 	ListingLog before;
 	before.put(endpoint("first"));
 	before.put(endpoint("second"));
 	EndpointDirectory directory(DirectoryConfig{});
-	directory.read(before.whole(kSecond), kSecond);
-	ListingLog anew;
-	anew.put(endpoint("third"));
-	directory.read(anew.whole(2 * kSecond), 2 * kSecond);
+	directory.applyRead(before.whole(kSecond), kSecond);
+	ListingLog restarted;
+	restarted.put(endpoint("third"));
+	directory.applyRead(restarted.whole(2 * kSecond), 2 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("third")});
-	cr_assert_eq(directory.position(), anew.end());
+	cr_assert_eq(directory.position(), restarted.end());
 }
 
-/// Guards against an older listing in any order of readings and news, between three directories and against the log.
+/// Guards against older entries that replace newer ones, in any order of reads and merges. Compares three directories
+/// with the log.
 Test(feed_exchange, older_listing_never_replaces_a_newer_one)
 {
 	checkHistories("directories",
@@ -150,13 +151,13 @@
 				   {
 					   ListingLog log;
 					   std::vector<EndpointDirectory> directories(3, EndpointDirectory(DirectoryConfig{}));
-					   std::vector<std::uint64_t> known(3, 0); ///< Position up to which each knows the log.
+					   std::vector<std::uint64_t> positions(3, 0); ///< Position up to which each has the log.
 					   const std::vector<std::string> names = {"e-1", "e-2", "e-3", "e-4"};
 					   Micros now = kSecond;
 					   const int steps = *rc::gen::inRange(1, 80);
 					   for (int step = 0; step < steps; ++step)
 					   {
-						   now += 10 * kMillisecond; // Too little in all for entries to lapse.
+						   now += 10 * kMillisecond; // Too short in total for a grace period.
 						   const std::string name = *rc::gen::elementOf(names);
 						   const std::size_t one = *rc::gen::inRange<std::size_t>(0, 3);
 						   const std::size_t other = *rc::gen::inRange<std::size_t>(0, 3);
@@ -172,22 +173,22 @@
 							   log.put(name, endpoint(name + "/" + std::to_string(log.end())));
 							   break;
 						   case 2:
-							   directories[one].read(log.since(known[one], now), now);
-							   known[one] = log.end();
+							   directories[one].applyRead(log.since(positions[one], now), now);
+							   positions[one] = log.end();
 							   break;
 						   case 3:
-							   directories[one].read(log.whole(now), now);
-							   known[one] = log.end();
+							   directories[one].applyRead(log.whole(now), now);
+							   positions[one] = log.end();
 							   break;
 						   default:
-							   directories[one].take(directories[other].changesSince(0), now, now);
-							   known[one] = std::max(known[one], known[other]);
+							   directories[one].merge(directories[other].changesSince(0), now, now);
+							   positions[one] = std::max(positions[one], positions[other]);
 							   break;
 						   }
 						   for (std::size_t index = 0; index < directories.size(); ++index)
 						   {
 							   std::vector<Endpoint> expected;
-							   for (const auto& entry : log.present(known[index]))
+							   for (const auto& entry : log.present(positions[index]))
 							   {
 								   expected.push_back(entry.second.endpoint);
 							   }
@@ -197,25 +198,26 @@
 				   });
 }
 
-/// Guards against a node that reads by its turn, is turned away by the platform, and hears from nobody.
-Test(feed_exchange, reader_that_the_platform_turns_away_hears_from_other_nodes)
+/// Guards against a reader that cannot reach the platform and does not request changes from other nodes either.
+Test(feed_exchange, reader_cut_off_from_the_platform_follows_another_node)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.list(endpoint("goes"));
 	world.runFor(3 * kSecond);
 	FeedWorld::Node& reader = world.node(world.readers().front());
-	cr_assert(lists(reader.exchange, "goes"));
+	cr_assert(isListed(reader.exchange, "goes"));
 	reader.cutOff = true;
 	world.runFor(2 * kSecond);
 	world.unlist("goes");
 	world.publishRoutes();
-	world.runFor(kInForceWithin);
-	cr_assert_not(lists(reader.exchange, "goes"));
-	cr_assert_eq(reader.exchange.routes().version, world.versionBefore(0));
+	world.runFor(kMaxChangeDelay);
+	cr_assert_not(isListed(reader.exchange, "goes"));
+	cr_assert_eq(reader.exchange.routes().version, world.newestVersionOlderThan(0));
 }
 
-/// Guards against entries that are kept for their return though the platform was away for other nodes only.
-Test(feed_exchange, nodes_that_can_read_do_not_doubt_the_listing_for_their_sources_trouble)
+/// Guards against removed entries that are kept for the grace period although only other nodes were cut off from the
+/// platform.
+Test(feed_exchange, nodes_that_can_read_drop_removed_endpoints_at_once_when_their_source_is_cut_off)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.list(endpoint("goes"));
@@ -226,50 +228,50 @@
 	}
 	world.runFor(4 * kSecond);
 	world.unlist("goes");
-	world.runFor(FeedWorld::kReadEvery + 2 * FeedWorld::kTick);
+	world.runFor(FeedWorld::kReadInterval + 2 * FeedWorld::kTickInterval);
 	for (const FeedWorld::Node& node : world.nodes)
 	{
-		cr_assert(node.cutOff || !lists(node.exchange, "goes"), "%s", node.name.c_str());
+		cr_assert(node.cutOff || !isListed(node.exchange, "goes"), "%s", node.name.c_str());
 	}
 }
 
-/// Guards against an endpoint that starts again under its name and stays shut out because its earlier start had left.
-Test(feed_exchange, endpoint_that_starts_again_is_usable_though_it_had_left)
+/// Guards against an endpoint that restarts under the same name and stays unusable because its older instance left.
+Test(feed_exchange, restarted_endpoint_is_usable_after_its_older_instance_left)
 {
 	ListingLog log;
 	EndpointDirectory directory(DirectoryConfig{});
 	log.put("e", endpoint("e@100", true), 100);
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.put("e", endpoint("e@200"), 200);
-	directory.read(log.since(1, 2 * kSecond), 2 * kSecond);
+	directory.applyRead(log.since(1, 2 * kSecond), 2 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("e@200")});
 }
 
-/// Guards against an earlier start that comes back by a write that was held up, and against an endpoint whose clock was
-/// set back and that is shut out for good.
-Test(feed_exchange, earlier_start_counts_only_when_the_later_one_stays_silent)
+/// Guards against an older instance that replaces a newer one by a delayed write, and against an endpoint that is never
+/// adopted because its clock was set back.
+Test(feed_exchange, older_instance_is_adopted_only_when_the_newer_one_stops_writing)
 {
 	const DirectoryConfig config;
 	ListingLog log;
 	EndpointDirectory directory(config);
 	log.put("held-up", endpoint("held-up@200"), 200);
 	log.put("set-back", endpoint("set-back@200"), 200);
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.put("held-up", endpoint("held-up@100"), 100);
 	log.put("set-back", endpoint("set-back@100"), 100);
-	const Micros read = 2 * kSecond;
-	directory.read(log.since(2, read), read);
+	const Micros readAt = 2 * kSecond;
+	directory.applyRead(log.since(2, readAt), readAt);
 	cr_assert_eq(directory.endpoints().front(), endpoint("held-up@200"));
 	log.put("held-up", endpoint("held-up@200"), 200);
-	directory.read(log.since(4, read + kSecond), read + kSecond);
-	cr_assert_not(directory.expire(read + config.earlierStartGrace - 1));
-	cr_assert(directory.expire(read + config.earlierStartGrace));
+	directory.applyRead(log.since(4, readAt + kSecond), readAt + kSecond);
+	cr_assert_not(directory.expire(readAt + config.olderInstanceGrace - 1));
+	cr_assert(directory.expire(readAt + config.olderInstanceGrace));
 	cr_assert(directory.endpoints() == (std::vector<Endpoint>{endpoint("held-up@200"), endpoint("set-back@100")}));
 }
 
-/// Guards against starts that are mixed up by restarts, leaving, lapses and sources that lag, in two directories of
-/// which one also hears from the other, against the log.
-Test(feed_exchange, directories_agree_with_the_log_over_restarts)
+/// Guards against instances that are confused by restarts, leaving, removals and lagging sources. Compares two
+/// directories, of which one also merges the other, with the log.
+Test(feed_exchange, directories_agree_with_the_log_across_restarts)
 {
 	checkHistories("restarts",
 				   []
@@ -278,10 +280,10 @@
 					   ListingLog log;
 					   EndpointDirectory source(config);
 					   EndpointDirectory follower(config);
-					   std::uint64_t sourceKnows = 0;
-					   std::uint64_t followerKnows = 0;
+					   std::uint64_t sourcePosition = 0;
+					   std::uint64_t followerPosition = 0;
 					   const std::vector<std::string> names = {"e-1", "e-2", "e-3"};
-					   std::set<std::string> left; ///< Starts that have said so where both could read it.
+					   std::set<std::string> left; ///< Ids of instances that were listed as leaving.
 					   std::int64_t starts = 0;
 					   std::map<std::string, std::int64_t> startOf;
 					   Micros now = kSecond;
@@ -309,22 +311,22 @@
 							   log.spoil(name);
 							   break;
 						   case 4:
-							   source.read(log.since(sourceKnows, now), now);
-							   sourceKnows = log.end();
+							   source.applyRead(log.since(sourcePosition, now), now);
+							   sourcePosition = log.end();
 							   break;
 						   case 5:
-							   follower.read(log.whole(now), now);
-							   followerKnows = log.end();
+							   follower.applyRead(log.whole(now), now);
+							   followerPosition = log.end();
 							   break;
 						   default:
-							   follower.take(source.changesSince(0), now, now);
-							   followerKnows = std::max(followerKnows, sourceKnows);
+							   follower.merge(source.changesSince(0), now, now);
+							   followerPosition = std::max(followerPosition, sourcePosition);
 							   break;
 						   }
 						   source.expire(now);
 						   follower.expire(now);
 						   for (const auto& [directory, knows] :
-								{std::pair{&source, sourceKnows}, std::pair{&follower, followerKnows}})
+								{std::pair{&source, sourcePosition}, std::pair{&follower, followerPosition}})
 						   {
 							   const auto present = log.present(knows);
 							   for (const Endpoint& held : directory->endpoints())
@@ -340,118 +342,117 @@
 							   }
 						   }
 					   }
-					   // When nothing is in doubt any more, both hold what the log has.
-					   now += config.lapseAfter;
-					   source.read(log.since(sourceKnows, now), now);
+					   // After the grace period, both hold the entries of the log.
+					   now += config.maxListingGap;
+					   source.applyRead(log.since(sourcePosition, now), now);
 					   now += config.relistGrace;
 					   source.expire(now);
-					   follower.take(source.changesSince(0), now, now);
+					   follower.merge(source.changesSince(0), now, now);
 					   follower.expire(now);
 					   RC_ASSERT(source.endpoints() == follower.endpoints());
 					   RC_ASSERT(source.endpoints().size() == log.present().size());
 				   });
 }
 
-/// Guards against endpoints that come back, and changes that are late, in a cluster with nodes cut off, silent and
-/// slow.
-Test(feed_exchange, cluster_in_trouble_keeps_its_nodes_up_to_date)
+/// Guards against restored endpoints and late changes in a cluster with cut off, isolated and slow nodes.
+Test(feed_exchange, nodes_stay_current_while_others_fail)
 {
 	constexpr int kClusterHistories = 20;
-	const char* given = std::getenv("ROADFERRY_HISTORIES");
-	const std::string histories = given == nullptr ? std::to_string(kClusterHistories) : given;
+	const char* historiesSetting = std::getenv("ROADFERRY_HISTORIES");
+	const std::string histories = historiesSetting == nullptr ? std::to_string(kClusterHistories) : historiesSetting;
 	setenv("RC_PARAMS", ("seed=20261204 max_success=" + histories).c_str(), 1);
-	const auto below = [](Micros _limit)
+	const auto randomBelow = [](Micros _limit)
 	{ return *rc::gen::noShrink(rc::gen::resize(rc::kNominalSize, rc::gen::inRange<Micros>(0, _limit))); };
-	const bool holds =
-		rc::check("cluster",
-				  [&]
-				  {
-					  FeedWorld world(FeedWorldConfig{24, 250'000, 8'000});
-					  world.log.put(endpoint("stays"));
-					  world.runFor(3 * kSecond);
-					  Micros endpoints = 0;
-					  for (int step = 0; step < 60; ++step)
-					  {
-						  FeedWorld::Node& node = world.nodes[static_cast<std::size_t>(below(24))];
-						  switch (below(9))
-						  {
-						  case 0:
-							  node.cutOff = true;
-							  break;
-						  case 1:
-							  node.silent = true;
-							  break;
-						  case 2:
-							  node.extraDelay = below(5 * kSecond);
-							  break;
-						  case 3:
-						  case 4:
-							  node.cutOff = false;
-							  node.silent = false;
-							  node.extraDelay = 0;
-							  node.troubledUntil = world.now;
-							  break;
-						  case 5:
-							  world.publishRoutes();
-							  break;
-						  case 6:
-							  world.log.put(endpoint("e-" + std::to_string(++endpoints)));
-							  break;
-						  default: // Names that were never listed do not come later.
-							  endpoints = std::max<Micros>(1, endpoints);
-							  world.log.remove("e-" + std::to_string(1 + below(endpoints)));
-							  break;
-						  }
-						  world.runFor(below(600 * kMillisecond));
-						  for (const FeedWorld::Node& each : world.nodes)
-						  {
-							  const bool troubled = each.cutOff || each.silent || each.extraDelay > 0;
-							  if (!troubled && world.now - each.troubledUntil > 2 * kInForceWithin)
-							  {
-								  RC_ASSERT(each.exchange.routes().version >= world.versionBefore(kInForceWithin));
-							  }
-							  // Once seen to go, what has waited for its return is not listed again.
-							  for (const auto& gone : each.seenGone)
-							  {
-								  const Micros since = std::max(gone.second, each.troubledUntil);
-								  const bool waited = !troubled && world.now - since > kSeenGoneWithin;
-								  RC_ASSERT(!waited || !lists(each.exchange, gone.first));
-							  }
-							  for (const auto& gone : world.removedAt)
-							  {
-								  const Micros since = std::max(gone.second, each.troubledUntil + kInForceWithin);
-								  const bool waited = !troubled && world.now - since > kInForceWithin;
-								  RC_ASSERT(!waited || !lists(each.exchange, gone.first));
-							  }
-						  }
-					  }
-				  });
+	const bool holds = rc::check(
+		"cluster",
+		[&]
+		{
+			FeedWorld world(FeedWorldConfig{24, 250'000, 8'000});
+			world.log.put(endpoint("stays"));
+			world.runFor(3 * kSecond);
+			Micros endpoints = 0;
+			for (int step = 0; step < 60; ++step)
+			{
+				FeedWorld::Node& node = world.nodes[static_cast<std::size_t>(randomBelow(24))];
+				switch (randomBelow(9))
+				{
+				case 0:
+					node.cutOff = true;
+					break;
+				case 1:
+					node.isolated = true;
+					break;
+				case 2:
+					node.extraDelay = randomBelow(5 * kSecond);
+					break;
+				case 3:
+				case 4:
+					node.cutOff = false;
+					node.isolated = false;
+					node.extraDelay = 0;
+					node.faultsClearedAt = world.now;
+					break;
+				case 5:
+					world.publishRoutes();
+					break;
+				case 6:
+					world.log.put(endpoint("e-" + std::to_string(++endpoints)));
+					break;
+				default: // Removes only names that were listed before.
+					endpoints = std::max<Micros>(1, endpoints);
+					world.log.remove("e-" + std::to_string(1 + randomBelow(endpoints)));
+					break;
+				}
+				world.runFor(randomBelow(600 * kMillisecond));
+				for (const FeedWorld::Node& each : world.nodes)
+				{
+					const bool isFaulty = each.cutOff || each.isolated || each.extraDelay > 0;
+					if (!isFaulty && world.now - each.faultsClearedAt > 2 * kMaxChangeDelay)
+					{
+						RC_ASSERT(each.exchange.routes().version >= world.newestVersionOlderThan(kMaxChangeDelay));
+					}
+					// A removal that the node has read itself takes effect after the grace period, and lasts.
+					for (const auto& removal : each.observedRemovals)
+					{
+						const Micros since = std::max(removal.second, each.faultsClearedAt);
+						const bool isOverdue = !isFaulty && world.now - since > kMaxRemovalDelay;
+						RC_ASSERT(!isOverdue || !isListed(each.exchange, removal.first));
+					}
+					for (const auto& removal : world.removalTimes)
+					{
+						const Micros since = std::max(removal.second, each.faultsClearedAt + kMaxChangeDelay);
+						const bool isOverdue = !isFaulty && world.now - since > kMaxChangeDelay;
+						RC_ASSERT(!isOverdue || !isListed(each.exchange, removal.first));
+					}
+				}
+			}
+		});
 	cr_assert(holds);
 }
 
-/// Guards against requests that are handled by routes of any age while a node's control does not run (a starved
-/// processor, or more messages than it can take).
-Test(feed_exchange, node_whose_control_does_not_run_handles_nothing_by_old_routes)
+/// Guards against requests that are handled by outdated routes while a node's control thread does not run, for example
+/// because it gets no processor time or too many messages.
+Test(feed_exchange, node_with_a_stalled_control_thread_does_not_use_old_routes)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.runFor(5 * kSecond);
-	world.nodes[3].stoppedUntil = world.now + 8 * kSecond;
-	world.node(world.readers().front()).stoppedUntil = world.now + 6 * kSecond;
+	world.nodes[3].controlStoppedUntil = world.now + 8 * kSecond;
+	world.node(world.readers().front()).controlStoppedUntil = world.now + 6 * kSecond;
 	for (int change = 0; change < 60; ++change)
 	{
 		world.publishRoutes();
 		world.runFor(200 * kMillisecond);
 		for (const FeedWorld::Node& node : world.nodes)
 		{
-			const bool handles = mayHandle(node.knowledge, world.now, kInForceWithin - 200 * kMillisecond);
-			cr_assert(!handles || node.exchange.routes().version >= world.versionBefore(kInForceWithin),
+			const bool handles = isFeedLeaseValid(node.freshness, world.now, kMaxChangeDelay - 200 * kMillisecond);
+			cr_assert(!handles || node.exchange.routes().version >= world.newestVersionOlderThan(kMaxChangeDelay),
 					  "%s, change %d", node.name.c_str(), change);
 		}
 	}
 }
 
-/// Guards against a lease that ends although all goes well: nobody would be served.
-Test(feed_exchange, nodes_that_hear_in_time_handle_requests)
+/// Guards against a lease that expires without a fault, so that no request is handled.
+Test(feed_exchange, nodes_with_current_feeds_handle_requests)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.runFor(5 * kSecond);
@@ -460,14 +461,14 @@
 		world.runFor(50 * kMillisecond);
 		for (const FeedWorld::Node& node : world.nodes)
 		{
-			cr_assert(mayHandle(node.knowledge, world.now, kInForceWithin - 200 * kMillisecond), "%s",
+			cr_assert(isFeedLeaseValid(node.freshness, world.now, kMaxChangeDelay - 200 * kMillisecond), "%s",
 					  node.name.c_str());
 		}
 	}
 }
 
-/// Guards against nodes that serve nobody while the platform is away: what they know holds then.
-Test(feed_exchange, nodes_handle_requests_while_the_platform_is_away)
+/// Guards against nodes that refuse requests while the platform is unavailable: their data stays valid then.
+Test(feed_exchange, nodes_handle_requests_while_the_platform_is_unavailable)
 {
 	FeedWorld world(FeedWorldConfig{});
 	world.runFor(5 * kSecond);
@@ -481,15 +482,15 @@
 		world.runFor(50 * kMillisecond);
 		for (const FeedWorld::Node& node : world.nodes)
 		{
-			cr_assert(mayHandle(node.knowledge, world.now, kInForceWithin - 200 * kMillisecond), "%s",
+			cr_assert(isFeedLeaseValid(node.freshness, world.now, kMaxChangeDelay - 200 * kMillisecond), "%s",
 					  node.name.c_str());
 		}
 	}
 }
 
-/// Guards against endpoints that renew their entries all the time, and fill the links and the processors of the nodes
-/// that tell others with entries that say nothing new.
-Test(feed_exchange, renewals_that_change_nothing_are_not_told)
+/// Guards against renewals without changes that are forwarded to followers: they would load the links and processors of
+/// the readers.
+Test(feed_exchange, unchanged_renewals_are_not_forwarded)
 {
 	FeedWorld world(FeedWorldConfig{});
 	for (int index = 0; index < 300; ++index)
@@ -497,10 +498,10 @@
 		world.list(endpoint("endpoint-" + std::to_string(index)));
 	}
 	world.runFor(5 * kSecond);
-	const double quietFrom = world.bytesSent;
+	const double sentBeforeQuiet = world.bytesSent;
 	world.runFor(5 * kSecond);
-	const double quiet = world.bytesSent - quietFrom;
-	const double busyFrom = world.bytesSent;
+	const double quiet = world.bytesSent - sentBeforeQuiet;
+	const double sentBeforeRenewals = world.bytesSent;
 	for (int round = 0; round < 5; ++round)
 	{
 		for (int index = 0; index < 300; ++index)
@@ -509,19 +510,20 @@
 		}
 		world.runFor(kSecond);
 	}
-	cr_assert_leq(world.bytesSent - busyFrom, 1.1 * quiet, "%.0f bytes, and %.0f without renewals",
-				  world.bytesSent - busyFrom, quiet);
+	cr_assert_leq(world.bytesSent - sentBeforeRenewals, 1.1 * quiet, "%.0f bytes, and %.0f without renewals",
+				  world.bytesSent - sentBeforeRenewals, quiet);
 }
 
-/// Guards against a node that starts and serves by routes that another node gave it, however old they are.
-Test(feed_exchange, node_that_starts_does_not_handle_by_routes_of_unknown_age)
+/// Guards against a starting node that handles requests by routes from another node whose age is unknown.
+Test(feed_exchange, starting_node_does_not_use_routes_of_unknown_age)
 {
 	FeedExchange exchange("10.0.1.1:1", FeedRelayConfig{}, DirectoryConfig{}, 1);
 	exchange.tick(kSecond);
-	exchange.holdRoutes(HeldRoutes{5, "from another node"});
-	exchange.learn({ListedEndpoint{"endpoint", 1, endpoint("endpoint"), 0}}, {}, kSecond);
+	exchange.setRoutes(EncodedRoutes{5, "from another node"});
+	exchange.mergePeerEndpoints({ListedEndpoint{"endpoint", 1, endpoint("endpoint"), 0}}, {}, kSecond);
 	cr_assert(exchange.ready());
-	cr_assert(!mayHandle(exchange.knowledge(kSecond), kSecond, kInForceWithin));
-	exchange.readingFailed(FeedTopic::Routes);
-	cr_assert(mayHandle(exchange.knowledge(kSecond), kSecond, kInForceWithin), "the platform is away");
+	cr_assert(!isFeedLeaseValid(exchange.freshness(kSecond), kSecond, kMaxChangeDelay));
+	exchange.onReadFailed(FeedTopic::Routes);
+	cr_assert(isFeedLeaseValid(exchange.freshness(kSecond), kSecond, kMaxChangeDelay),
+			  "the lease holds while the platform is unavailable");
 }
