--- a/include/roadferry/parts/admission.h
+++ b/include/roadferry/parts/admission.h
@@ -31,7 +31,7 @@
 /// What a request needs of the pools to be in time.
 struct AdmissionTerms
 {
-	Micros waitMost = 0;    ///< Time that its pieces may wait for endpoints, over all its stages.
+	Micros maxWait = 0;     ///< Time that its pieces may wait for endpoints, over all its stages.
 	bool refusable = false; ///< Whether it may be told to come back later; else it is only counted.
 	std::vector<PoolDemand> demand;
 	bool operator==(const AdmissionTerms&) const = default;
@@ -80,7 +80,7 @@
 		BatchLimits limits;
 		std::int64_t endpoints = 0;
 		double backlog = 0; ///< Pieces, at the time below.
-		Micros at = 0;
+		Micros backlogAt = 0;
 	};
 
 	/// @returns Pieces that the pool makes in a microsecond.
--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -391,10 +391,10 @@
 };
 
 /// Another incarnation issued it: only that one can say.
-struct TicketElsewhere
+struct TicketOtherIssuer
 {
 	Incarnation issuer;
-	bool operator==(const TicketElsewhere&) const = default;
+	bool operator==(const TicketOtherIssuer&) const = default;
 };
 
 /// Never to be run by this incarnation.
@@ -404,59 +404,59 @@
 	bool operator==(const TicketRefused&) const = default;
 };
 
-using TicketDecision = std::variant<TicketRun, TicketAttach, TicketReplay, TicketElsewhere, TicketRefused>;
+using TicketDecision = std::variant<TicketRun, TicketAttach, TicketReplay, TicketOtherIssuer, TicketRefused>;
 
 /// What is known of a ticket without presenting a request under it.
 enum class TicketState
 {
-	Elsewhere,
-	Forgotten, ///< Too old, or never issued: nothing can be said.
+	OtherIssuer,
+	Unknown, ///< Too old, or never issued: nothing can be said.
 	Unused,
 	Running,
 	Ended
 };
 
-/// Sizes and times of a TicketBook.
+/// Sizes and times of a TicketRegistry.
 struct TicketLimits
 {
-	Micros unusedLife = 600 * kSecond;  ///< How long an unused ticket may be presented.
-	Micros outcomeLife = 600 * kSecond; ///< How long the outcome of an ended one is kept.
-	std::size_t capacity = 500'000;     ///< Most tickets held; more are refused.
+	Micros unusedTtl = 600 * kSecond;  ///< How long an unused ticket may be presented.
+	Micros outcomeTtl = 600 * kSecond; ///< How long the outcome of an ended one is kept.
+	std::size_t capacity = 500'000;    ///< Most tickets held; more are refused.
 	bool operator==(const TicketLimits&) const = default;
 };
 
 /// Last word of an incarnation that has stopped as planned. It runs nothing after this.
-struct Farewell
+struct ShutdownReport
 {
 	Incarnation issuer;
-	std::uint64_t forgottenUpTo = 0; ///< Of serials up to this one that are not listed, nothing is known.
-	std::map<std::uint64_t, Outcome> ended;
-	bool operator==(const Farewell&) const = default;
+	std::uint64_t expiredUpTo = 0; ///< Of serials up to this one that are not listed, nothing is known.
+	std::map<std::uint64_t, Outcome> outcomes;
+	bool operator==(const ShutdownReport&) const = default;
 };
 
 /// Answers for incarnations that have said farewell.
-class FarewellBook
+class ShutdownReportCache
 {
 public:
-	/// @param[in] _life How long a farewell is kept, at least as long as tickets and outcomes live.
-	explicit FarewellBook(Micros _life);
+	/// @param[in] _ttl How long a farewell is kept, at least as long as tickets and outcomes live.
+	explicit ShutdownReportCache(Micros _ttl);
 
-	void add(const Farewell& _farewell, Micros _now);
+	void add(const ShutdownReport& _report, Micros _now);
 
 	/// @returns Outcome of the ticket, or nothing when its issuer has not said farewell.
-	[[nodiscard]] std::optional<Outcome> look(const Ticket& _ticket, Micros _now) const;
+	[[nodiscard]] std::optional<Outcome> outcomeOf(const Ticket& _ticket, Micros _now) const;
 
 private:
-	Micros life;
-	std::map<Incarnation, std::pair<Micros, Farewell>> farewells;
+	Micros ttl;
+	std::map<Incarnation, std::pair<Micros, ShutdownReport>> reports;
 };
 
 /// The tickets that one incarnation has issued. A ticket never moves to another node, so no lease can lapse and no
 /// two nodes can disagree about it.
-class TicketBook
+class TicketRegistry
 {
 public:
-	TicketBook(Incarnation _self, TicketLimits _limits);
+	TicketRegistry(Incarnation _self, TicketLimits _limits);
 
 	/// Issues a ticket.
 	/// @param[in] _workspace Workspace that may use it.
@@ -473,21 +473,21 @@
 	TicketDecision present(const Ticket& _ticket, const std::string& _workspace, std::uint64_t _digest, Micros _now);
 
 	/// Records how a running ticket ended. The first outcome stays.
-	void end(const Ticket& _ticket, const Outcome& _outcome, Micros _now);
+	void recordOutcome(const Ticket& _ticket, const Outcome& _outcome, Micros _now);
 
 	/// Makes sure that an unused ticket never runs.
 	/// @returns Replay of the outcome if it has ended, Attach if it is running, Refused otherwise.
-	TicketDecision seal(const Ticket& _ticket, const std::string& _workspace, Micros _now);
+	TicketDecision revoke(const Ticket& _ticket, const std::string& _workspace, Micros _now);
 
 	/// @returns State of a ticket, and its outcome where it has ended.
-	[[nodiscard]] std::pair<TicketState, Outcome> look(const Ticket& _ticket, const std::string& _workspace) const;
+	[[nodiscard]] std::pair<TicketState, Outcome> stateOf(const Ticket& _ticket, const std::string& _workspace) const;
 
 	/// Forgets what is older than the limits allow.
 	void expire(Micros _now);
 
 	/// Seals all unused tickets for good, at the end of a planned stop with nothing running.
 	/// @returns What other nodes need to answer for this incarnation when it is gone.
-	Farewell farewell(Micros _now);
+	ShutdownReport shutDown(Micros _now);
 
 	[[nodiscard]] std::size_t size() const;
 	[[nodiscard]] const Incarnation& self() const;
@@ -499,7 +499,7 @@
 		std::uint64_t nonce = 0;
 		std::uint64_t digest = 0;
 		TicketState state = TicketState::Unused;
-		Micros since = 0;
+		Micros issuedOrEndedAt = 0;
 		Outcome outcome;
 	};
 
@@ -508,7 +508,7 @@
 	Incarnation identity;
 	TicketLimits limits;
 	std::uint64_t lastSerial = 0;
-	std::uint64_t forgottenUpTo = 0; ///< Highest serial that was forgotten.
+	std::uint64_t expiredUpTo = 0; ///< Highest serial that was forgotten.
 	std::unordered_map<std::uint64_t, Entry> entries;
 	std::deque<std::pair<Micros, std::uint64_t>> expiry; ///< Time of the next look at a serial, oldest first.
 };
@@ -549,9 +549,9 @@
 struct Gossip
 {
 	GossipKind kind = GossipKind::Ping;
-	std::uint64_t sequence = 0; ///< Echoed by the answer.
-	std::string target;         ///< Of a PingRequest; empty otherwise.
-	std::vector<Member> news;   ///< The sender itself first.
+	std::uint64_t sequence = 0;  ///< Echoed by the answer.
+	std::string target;          ///< Of a PingRequest; empty otherwise.
+	std::vector<Member> updates; ///< The sender itself first.
 	bool operator==(const Gossip&) const = default;
 };
 
@@ -566,14 +566,14 @@
 /// Times and sizes of Membership.
 struct MembershipConfig
 {
-	Micros period = kSecond;                ///< Between two probes.
+	Micros probePeriod = kSecond;           ///< Between two probes.
 	Micros ackTimeout = 300 * kMillisecond; ///< Until other nodes are asked to probe.
-	Micros suspicion = 3 * kSecond;         ///< Time to object, for up to eight nodes; grows with their logarithm.
-	std::size_t helpers = 3;                ///< Nodes asked to probe.
-	std::size_t newsPerMessage = 8;         ///< On an ordinary day,
-	std::size_t newsAtMost = 40;            ///< and after the loss of many nodes at once.
+	Micros suspicionTimeout = 3 * kSecond;  ///< Time to object, for up to eight nodes; grows with their logarithm.
+	std::size_t indirectProbes = 3;         ///< Nodes asked to probe.
+	std::size_t updatesPerMessage = 8;      ///< On an ordinary day,
+	std::size_t maxUpdatesPerMessage = 40;  ///< and after the loss of many nodes at once.
 	Micros seedPeriod = 5 * kSecond;        ///< Between two tries to reach a listed node that is not alive.
-	Micros forgetAfter = 600 * kSecond;     ///< How long a node that is gone is remembered.
+	Micros goneRetention = 600 * kSecond;   ///< How long a node that is gone is remembered.
 	bool operator==(const MembershipConfig&) const = default;
 };
 
@@ -610,38 +610,39 @@
 		std::string target;
 		std::uint64_t sequence = 0;
 		Micros sentAt = 0;
-		bool helped = false;
+		bool indirectRequested = false;
 		bool answered = false;
 	};
 
-	struct Rumour
+	struct PendingUpdate
 	{
-		std::size_t sends = 0;
+		std::size_t sendCount = 0;
 	};
 
-	void hear(const Member& _news, Micros _now, bool _retell);
-	void store(const Member& _news, Micros _now, bool _retell);
-	[[nodiscard]] std::pair<bool, std::size_t> urgencyOf(const std::string& _address, const Rumour& _rumour) const;
+	void applyUpdate(const Member& _update, Micros _now, bool _spread);
+	void store(const Member& _update, Micros _now, bool _spread);
+	[[nodiscard]] std::pair<bool, std::size_t> priorityOf(const std::string& _address,
+														  const PendingUpdate& _pending) const;
 	void suspect(const std::string& _address, Micros _now);
 	void expireSuspects(Micros _now);
-	void nextProbe(Micros _now, std::vector<SendGossip>& _out);
-	void askHelpers(Micros _now, std::vector<SendGossip>& _out);
-	void trySeed(Micros _now, std::vector<SendGossip>& _out);
-	std::vector<Member> takeNews();
+	void startNextProbe(Micros _now, std::vector<SendGossip>& _out);
+	void requestIndirectProbes(Micros _now, std::vector<SendGossip>& _out);
+	void contactSeed(Micros _now, std::vector<SendGossip>& _out);
+	std::vector<Member> takeUpdates();
 	[[nodiscard]] std::vector<Member> allMembers() const;
 	SendGossip message(const std::string& _to, GossipKind _kind, std::uint64_t _sequence);
-	[[nodiscard]] std::size_t logarithm() const;
+	[[nodiscard]] std::size_t log2OfMembers() const;
 
 	std::string self;
 	MembershipConfig config;
 	std::minstd_rand random;
-	std::map<std::string, Member> known;
-	std::map<std::string, Micros> troubledSince; ///< Members that are not alive, with when they came into that state.
-	std::map<std::string, Rumour> rumours;       ///< News still to be told, with how often each was told.
+	std::map<std::string, Member> knownMembers;
+	std::map<std::string, Micros> notAliveSince; ///< Members that are not alive, with when they came into that state.
+	std::map<std::string, PendingUpdate> pendingUpdates; ///< News still to be told, with how often each was told.
 	std::vector<std::string> seeds;
-	std::vector<std::string> order; ///< Nodes still to be probed in this round.
+	std::vector<std::string> probeOrder; ///< Nodes still to be probed in this round.
 	std::optional<Probe> probe;
-	std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> relayed; ///< Probes made for others.
+	std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> relayedPings; ///< Probes made for others.
 	std::uint64_t lastSequence = 0;
 	Micros nextProbeAt = 0;
 	Micros nextSeedAt = 0;
@@ -684,12 +685,12 @@
 
 using ShareAction = std::variant<SendDemand, SendGrant>;
 
-/// Times of ShareMeter.
+/// Times of ShareAllocator.
 struct ShareConfig
 {
-	Micros period = 500 * kMillisecond; ///< Between two reports, for up to 50 nodes; grows with their number.
-	Micros lease = 3 * kSecond;         ///< How long a grant holds, as a least; six periods when that is more.
-	std::size_t nodesPerMeter = 20;     ///< Each workspace has one meter; there is one for so many nodes.
+	Micros reportPeriod = 500 * kMillisecond; ///< Between two reports, for up to 50 nodes; grows with their number.
+	Micros leaseDuration = 3 * kSecond;       ///< How long a grant holds, as a least; six periods when that is more.
+	std::size_t nodesPerCoordinator = 20;     ///< Each workspace has one meter; there is one for so many nodes.
 	bool operator==(const ShareConfig&) const = default;
 };
 
@@ -700,10 +701,10 @@
 /// meter has forgotten its reports, and falls back to the even split, which the meter sets aside for each listed node
 /// that does not report. So the sum over all nodes is at most the limit, or one for each node where that is more, also
 /// while nodes cannot talk. It may be exceeded for one lease after the list of nodes has changed.
-class ShareMeter
+class ShareAllocator
 {
 public:
-	ShareMeter(std::string _self, ShareConfig _config);
+	ShareAllocator(std::string _self, ShareConfig _config);
 
 	/// @param[in] _listed All nodes of the VM list, alive or not, this one among them.
 	/// @param[in] _alive Those that count as alive.
@@ -723,57 +724,58 @@
 	[[nodiscard]] std::map<std::string, std::int64_t> shares(Micros _now) const;
 
 	/// @returns The node that looks after a workspace.
-	[[nodiscard]] std::string meterOf(const std::string& _workspace) const;
+	[[nodiscard]] std::string coordinatorOf(const std::string& _workspace) const;
 
 private:
-	struct Reported
+	struct ReceivedReport
 	{
 		std::map<std::string, std::int64_t> demand;
-		Micros at = 0;
+		Micros receivedAt = 0;
 	};
 
-	struct Held
+	struct ShareLease
 	{
 		std::int64_t share = 0;
-		Micros until = 0;
+		Micros expiresAt = 0;
 	};
 
 	/// How this node stands with one meter.
-	struct MeterLink
+	struct CoordinatorLink
 	{
-		Micros heardAt = 0;
+		Micros lastHeardAt = 0;
 		std::optional<Micros> silentSince; ///< Since when no true report has been sent.
 	};
 
-	void updateLinks(Micros _now);
-	[[nodiscard]] static std::int64_t promised(const std::vector<Held>& _grants);
-	static void promise(std::vector<Held>& _grants, const Held& _grant);
-	[[nodiscard]] Micros period() const;
-	[[nodiscard]] Micros lease() const;
+	void updateCoordinatorLinks(Micros _now);
+	[[nodiscard]] static std::int64_t highestShare(const std::vector<ShareLease>& _leases);
+	static void addLease(std::vector<ShareLease>& _leases, const ShareLease& _lease);
+	[[nodiscard]] Micros reportPeriod() const;
+	[[nodiscard]] Micros leaseDuration() const;
 	[[nodiscard]] std::int64_t evenSplit(std::int64_t _limit) const;
 	[[nodiscard]] std::int64_t floorOf(std::int64_t _limit) const;
-	void rebuildMeters();
-	void report(Micros _now, std::vector<ShareAction>& _out);
-	void grant(Micros _now, std::vector<ShareAction>& _out);
+	void assignCoordinators();
+	void sendReports(Micros _now, std::vector<ShareAction>& _out);
+	void sendGrants(Micros _now, std::vector<ShareAction>& _out);
 	void grantWorkspace(const std::string& _workspace, std::int64_t _limit, Micros _now,
 						std::map<std::string, ShareGrant>& _grants);
 
 	std::string self;
 	ShareConfig config;
-	std::vector<std::string> listed;
+	std::vector<std::string> listedNodes;
 	std::vector<std::string> aliveNodes;
-	std::vector<std::string> meters;
-	std::map<std::string, std::string> meterByWorkspace;
+	std::vector<std::string> coordinators;
+	std::map<std::string, std::string> coordinatorByWorkspace;
 	std::map<std::string, std::int64_t> limits;
 	std::map<std::string, std::int64_t> demand;
-	std::map<std::string, Held> held;        ///< Own grants by workspace.
-	std::map<std::string, Reported> reports; ///< By node, as a meter.
-	std::set<std::string> askers;            ///< Nodes that have sent something since the last grants.
-	std::map<std::string, std::map<std::string, std::vector<Held>>> granted; ///< By workspace and node, as a meter.
-	std::map<std::string, MeterLink> links;                                  ///< By meter.
-	Micros nextAt = 0;
-	bool started = false;  ///< Whether the nodes were set at least once.
-	Micros quietUntil = 0; ///< As a meter: grants of an earlier meter may still hold until then.
+	std::map<std::string, ShareLease> ownLeases;   ///< Own grants by workspace.
+	std::map<std::string, ReceivedReport> reports; ///< By node, as a meter.
+	std::set<std::string> reporters;               ///< Nodes that have sent something since the last grants.
+	std::map<std::string, std::map<std::string, std::vector<ShareLease>>>
+		grantedLeases;                                       ///< By workspace and node, as a meter.
+	std::map<std::string, CoordinatorLink> coordinatorLinks; ///< By meter.
+	Micros nextReportAt = 0;
+	bool nodesSet = false;         ///< Whether the nodes were set at least once.
+	Micros grantsBlockedUntil = 0; ///< As a meter: grants of an earlier meter may still hold until then.
 };
 
 // ---------------------------------------------------------------------------------------------------------------
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr int kTickMs = 100;
+constexpr int kTickPeriodMs = 100;
 constexpr std::int64_t kNanosPerMicro = 1'000;
 
 } // namespace
@@ -28,19 +28,19 @@
 	: traffic(_traffic), self(std::move(_self)), send(std::move(_send)),
 	  membership(self, static_cast<std::uint64_t>(wallNanoseconds() / kNanosPerMicro), MembershipConfig{},
 				 randomNumber()),
-	  meter(self, ShareConfig{})
+	  shareAllocator(self, ShareConfig{})
 {
 	QObject::connect(&this->timer, &QTimer::timeout, [this] { this->tick(); });
 }
 
 void ClusterView::start()
 {
-	this->timer.start(kTickMs);
+	this->timer.start(kTickPeriodMs);
 }
 
-void ClusterView::setListed(const std::vector<std::string>& _nodes)
+void ClusterView::setListedNodes(const std::vector<std::string>& _nodes)
 {
-	this->listed = _nodes;
+	this->listedNodes = _nodes;
 	this->membership.setSeeds(_nodes);
 }
 
@@ -57,11 +57,11 @@
 			limits[row->name] = row->inFlight;
 		}
 	}
-	this->meter.setLimits(limits);
+	this->shareAllocator.setLimits(limits);
 	this->applyShares();
 }
 
-void ClusterView::carry(const std::vector<SendGossip>& _messages)
+void ClusterView::sendAll(const std::vector<SendGossip>& _messages)
 {
 	for (const SendGossip& message : _messages)
 	{
@@ -72,11 +72,11 @@
 void ClusterView::tick()
 {
 	const Micros now = monotonicNow();
-	this->carry(this->membership.tick(now));
-	this->meter.setNodes(this->listed, this->membership.alive(), now);
+	this->sendAll(this->membership.tick(now));
+	this->shareAllocator.setNodes(this->listedNodes, this->membership.alive(), now);
 	this->traffic.setNodes(this->membership.alive().size());
-	this->meter.setDemand(this->traffic.takeDemand());
-	for (const ShareAction& action : this->meter.tick(now))
+	this->shareAllocator.setDemand(this->traffic.takeDemand());
+	for (const ShareAction& action : this->shareAllocator.tick(now))
 	{
 		std::visit(
 			Overloaded{
@@ -90,41 +90,41 @@
 
 void ClusterView::applyShares()
 {
-	const auto shares = this->meter.shares(monotonicNow());
-	for (const std::string& workspace : this->limited)
+	const auto shares = this->shareAllocator.shares(monotonicNow());
+	for (const std::string& workspace : this->limitedWorkspaces)
 	{
 		if (shares.count(workspace) == 0)
 		{
 			this->traffic.setShare(workspace, -1);
 		}
 	}
-	this->limited.clear();
+	this->limitedWorkspaces.clear();
 	for (const auto& entry : shares)
 	{
 		this->traffic.setShare(entry.first, entry.second);
-		this->limited.insert(entry.first);
+		this->limitedWorkspaces.insert(entry.first);
 	}
 }
 
 void ClusterView::onGossip(const std::string& _peer, const Gossip& _message)
 {
-	this->carry(this->membership.receive(_peer, _message, monotonicNow()));
+	this->sendAll(this->membership.receive(_peer, _message, monotonicNow()));
 }
 
 void ClusterView::onDemand(const std::string& _peer, const DemandReport& _report)
 {
-	this->meter.receiveDemand(_peer, _report, monotonicNow());
+	this->shareAllocator.receiveDemand(_peer, _report, monotonicNow());
 }
 
-void ClusterView::onShares(const std::string& _peer, const ShareGrant& _grant)
+void ClusterView::onGrant(const std::string& _peer, const ShareGrant& _grant)
 {
-	this->meter.receiveGrant(_peer, _grant, monotonicNow());
+	this->shareAllocator.receiveGrant(_peer, _grant, monotonicNow());
 	this->applyShares();
 }
 
 void ClusterView::leave()
 {
-	this->carry(this->membership.leave());
+	this->sendAll(this->membership.leave());
 }
 
 const Membership& ClusterView::members() const
@@ -132,7 +132,7 @@
 	return this->membership;
 }
 
-std::uint64_t ClusterView::inForce() const
+std::uint64_t ClusterView::lowestTableOffset() const
 {
 	std::uint64_t lowest = this->membership.members().at(this->self).tableOffset;
 	for (const std::string& address : this->membership.alive())
@@ -144,7 +144,7 @@
 
 std::map<std::string, std::int64_t> ClusterView::shares() const
 {
-	return this->meter.shares(monotonicNow());
+	return this->shareAllocator.shares(monotonicNow());
 }
 
 } // namespace roadferry
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -17,7 +17,7 @@
 namespace roadferry
 {
 
-/// Runs Membership and ShareMeter on the clock, and carries their messages.
+/// Runs Membership and ShareAllocator on the clock, and carries their messages.
 class ClusterView
 {
 public:
@@ -27,14 +27,14 @@
 	void start();
 
 	/// Takes the nodes of the VM list, this one among them.
-	void setListed(const std::vector<std::string>& _nodes);
+	void setListedNodes(const std::vector<std::string>& _nodes);
 
 	/// Takes the table in force.
 	void setTable(const Table& _table);
 
 	void onGossip(const std::string& _peer, const Gossip& _message);
 	void onDemand(const std::string& _peer, const DemandReport& _report);
-	void onShares(const std::string& _peer, const ShareGrant& _grant);
+	void onGrant(const std::string& _peer, const ShareGrant& _grant);
 
 	/// Tells other nodes that this one leaves.
 	void leave();
@@ -42,23 +42,23 @@
 	[[nodiscard]] const Membership& members() const;
 
 	/// @returns The lowest table offset in force on any live node.
-	[[nodiscard]] std::uint64_t inForce() const;
+	[[nodiscard]] std::uint64_t lowestTableOffset() const;
 
 	/// @returns This node's share of each limited workspace.
 	[[nodiscard]] std::map<std::string, std::int64_t> shares() const;
 
 private:
 	void tick();
-	void carry(const std::vector<SendGossip>& _messages);
+	void sendAll(const std::vector<SendGossip>& _messages);
 	void applyShares();
 
 	Traffic& traffic;
 	std::string self;
 	std::function<void(const std::string&, const PeerMessage&)> send;
 	Membership membership;
-	ShareMeter meter;
-	std::vector<std::string> listed;
-	std::set<std::string> limited; ///< Workspaces whose share was set at the dispatcher.
+	ShareAllocator shareAllocator;
+	std::vector<std::string> listedNodes;
+	std::set<std::string> limitedWorkspaces; ///< Workspaces whose share was set at the dispatcher.
 	QTimer timer;
 };
 
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -231,7 +231,7 @@
 				 [this](const std::string& _peer) { return _peer != this->self; });
 	std::vector<std::string> nodes = this->peerList;
 	nodes.push_back(this->self);
-	this->view.setListed(nodes);
+	this->view.setListedNodes(nodes);
 	for (const Endpoint& endpoint : _list->endpoints)
 	{
 		if (endpoint.leaving)
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -58,7 +58,7 @@
 	terms.demand = staged.demand();
 	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
-	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
+	terms.maxWait = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
 	// One that comes with less time than its route gives has most likely been turned away before: it is served.
 	terms.refusable = _active.giveUpAt - _active.arrived > _active.route.timeLimit * 9 / 10;
 	return terms;
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -19,19 +19,20 @@
 {
 
 constexpr std::array<std::string_view, 4> kStateNames = {"alive", "suspect", "dead", "left"};
-constexpr std::size_t kRetellFactor = 3;  ///< Each news is told so many times the logarithm of the nodes.
-constexpr std::size_t kLogarithmBase = 3; ///< The suspicion time holds for up to two to this many nodes.
-constexpr std::size_t kFarewells = 5;
-constexpr std::size_t kNewsParts = 8; ///< Of a heap of news, each message carries this part.
+constexpr std::size_t kRetransmitFactor = 3;  ///< Each news is told so many times the logarithm of the nodes.
+constexpr std::size_t kSuspicionBaseLog2 = 3; ///< The suspicion time holds for up to two to this many nodes.
+constexpr std::size_t kLeaveRecipients = 5;
+constexpr std::size_t kBacklogDivisor = 8; ///< Of a heap of news, each message carries this part.
 
 /// @returns Whether news of one member overrides what is held. Of the same version, the worse state holds.
-bool overrides(const Member& _news, const Member& _held)
+bool overrides(const Member& _update, const Member& _current)
 {
-	if (_news.version != _held.version)
+	if (_update.version != _current.version)
 	{
-		return _news.version > _held.version;
+		return _update.version > _current.version;
 	}
-	return _news.state > _held.state || (_news.state == _held.state && _news.tableOffset > _held.tableOffset);
+	return _update.state > _current.state ||
+		   (_update.state == _current.state && _update.tableOffset > _current.tableOffset);
 }
 
 bool isAlive(const Member& _member)
@@ -49,8 +50,8 @@
 Membership::Membership(std::string _address, std::uint64_t _version, MembershipConfig _config, std::uint64_t _seed)
 	: self(std::move(_address)), config(_config), random(static_cast<std::minstd_rand::result_type>(_seed))
 {
-	this->known[this->self] = Member{this->self, _version, MemberState::Alive, 0};
-	this->rumours[this->self] = Rumour{};
+	this->knownMembers[this->self] = Member{this->self, _version, MemberState::Alive, 0};
+	this->pendingUpdates[this->self] = PendingUpdate{};
 }
 
 void Membership::setSeeds(const std::vector<std::string>& _addresses)
@@ -61,13 +62,13 @@
 
 void Membership::setTableOffset(std::uint64_t _offset)
 {
-	this->known.at(this->self).tableOffset = _offset;
+	this->knownMembers.at(this->self).tableOffset = _offset;
 }
 
-std::size_t Membership::logarithm() const
+std::size_t Membership::log2OfMembers() const
 {
 	std::size_t result = 1;
-	while ((std::size_t{1} << result) < this->known.size())
+	while ((std::size_t{1} << result) < this->knownMembers.size())
 	{
 		result += 1;
 	}
@@ -75,48 +76,48 @@
 }
 
 /// Troubles go before arrivals, and of each what was told least.
-std::pair<bool, std::size_t> Membership::urgencyOf(const std::string& _address, const Rumour& _rumour) const
+std::pair<bool, std::size_t> Membership::priorityOf(const std::string& _address, const PendingUpdate& _pending) const
 {
-	return {this->known.at(_address).state == MemberState::Alive, _rumour.sends};
+	return {this->knownMembers.at(_address).state == MemberState::Alive, _pending.sendCount};
 }
 
-std::vector<Member> Membership::takeNews()
+std::vector<Member> Membership::takeUpdates()
 {
-	std::vector<Member> news = {this->known.at(this->self)};
-	std::vector<std::map<std::string, Rumour>::iterator> fresh;
-	fresh.reserve(this->rumours.size());
-	for (auto entry = this->rumours.begin(); entry != this->rumours.end(); ++entry)
+	std::vector<Member> updates = {this->knownMembers.at(this->self)};
+	std::vector<std::map<std::string, PendingUpdate>::iterator> candidates;
+	candidates.reserve(this->pendingUpdates.size());
+	for (auto entry = this->pendingUpdates.begin(); entry != this->pendingUpdates.end(); ++entry)
 	{
-		fresh.push_back(entry);
+		candidates.push_back(entry);
 	}
-	const std::size_t wished =
-		std::clamp(fresh.size() / kNewsParts, this->config.newsPerMessage, this->config.newsAtMost);
-	const std::size_t count = std::min(fresh.size(), wished);
+	const std::size_t wantedCount = std::clamp(candidates.size() / kBacklogDivisor, this->config.updatesPerMessage,
+											   this->config.maxUpdatesPerMessage);
+	const std::size_t count = std::min(candidates.size(), wantedCount);
 	std::partial_sort(
-		fresh.begin(), fresh.begin() + static_cast<std::ptrdiff_t>(count), fresh.end(),
+		candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(count), candidates.end(),
 		[this](const auto& _left, const auto& _right)
-		{ return this->urgencyOf(_left->first, _left->second) < this->urgencyOf(_right->first, _right->second); });
-	const std::size_t enough = kRetellFactor * this->logarithm();
+		{ return this->priorityOf(_left->first, _left->second) < this->priorityOf(_right->first, _right->second); });
+	const std::size_t maxSends = kRetransmitFactor * this->log2OfMembers();
 	for (std::size_t index = 0; index < count; ++index)
 	{
-		const auto rumour = fresh[index];
-		if (rumour->first != this->self)
+		const auto pending = candidates[index];
+		if (pending->first != this->self)
 		{
-			news.push_back(this->known.at(rumour->first));
+			updates.push_back(this->knownMembers.at(pending->first));
 		}
-		rumour->second.sends += 1;
-		if (rumour->second.sends >= enough)
+		pending->second.sendCount += 1;
+		if (pending->second.sendCount >= maxSends)
 		{
-			this->rumours.erase(rumour);
+			this->pendingUpdates.erase(pending);
 		}
 	}
-	return news;
+	return updates;
 }
 
 std::vector<Member> Membership::allMembers() const
 {
-	std::vector<Member> all = {this->known.at(this->self)};
-	for (const auto& entry : this->known)
+	std::vector<Member> all = {this->knownMembers.at(this->self)};
+	for (const auto& entry : this->knownMembers)
 	{
 		if (entry.first != this->self)
 		{
@@ -128,52 +129,52 @@
 
 SendGossip Membership::message(const std::string& _to, GossipKind _kind, std::uint64_t _sequence)
 {
-	return SendGossip{_to, Gossip{_kind, _sequence, {}, this->takeNews()}};
+	return SendGossip{_to, Gossip{_kind, _sequence, {}, this->takeUpdates()}};
 }
 
-void Membership::store(const Member& _news, Micros _now, bool _retell)
+void Membership::store(const Member& _update, Micros _now, bool _spread)
 {
-	const auto found = this->known.find(_news.address);
-	const bool stateChanged = found == this->known.end() || found->second.state != _news.state;
-	const bool versionChanged = found == this->known.end() || found->second.version != _news.version;
-	this->known[_news.address] = _news;
-	if ((stateChanged || versionChanged) && _retell)
+	const auto found = this->knownMembers.find(_update.address);
+	const bool stateChanged = found == this->knownMembers.end() || found->second.state != _update.state;
+	const bool versionChanged = found == this->knownMembers.end() || found->second.version != _update.version;
+	this->knownMembers[_update.address] = _update;
+	if ((stateChanged || versionChanged) && _spread)
 	{
 		// An offset alone is not passed on: each edit would bring news of every node, and hold up what matters.
-		this->rumours[_news.address] = Rumour{};
+		this->pendingUpdates[_update.address] = PendingUpdate{};
 	}
-	if (_news.state == MemberState::Alive)
+	if (_update.state == MemberState::Alive)
 	{
-		this->troubledSince.erase(_news.address);
+		this->notAliveSince.erase(_update.address);
 	}
 	else if (stateChanged)
 	{
-		this->troubledSince[_news.address] = _now;
+		this->notAliveSince[_update.address] = _now;
 	}
 }
 
-void Membership::hear(const Member& _news, Micros _now, bool _retell)
+void Membership::applyUpdate(const Member& _update, Micros _now, bool _spread)
 {
-	if (_news.address == this->self)
+	if (_update.address == this->self)
 	{
-		Member& own = this->known.at(this->self);
-		const bool wrong = _news.state != MemberState::Alive && own.state == MemberState::Alive;
-		if (_news.version > own.version || (_news.version == own.version && wrong))
+		Member& own = this->knownMembers.at(this->self);
+		const bool falseSuspicion = _update.state != MemberState::Alive && own.state == MemberState::Alive;
+		if (_update.version > own.version || (_update.version == own.version && falseSuspicion))
 		{
 			// Somebody believes that this node is gone, or remembers an earlier process with a clock ahead of ours.
-			own.version = _news.version + 1;
-			this->rumours[this->self] = Rumour{};
+			own.version = _update.version + 1;
+			this->pendingUpdates[this->self] = PendingUpdate{};
 		}
 		return;
 	}
-	const auto found = this->known.find(_news.address);
-	if (found == this->known.end() && !isAlive(_news))
+	const auto found = this->knownMembers.find(_update.address);
+	if (found == this->knownMembers.end() && !isAlive(_update))
 	{
 		return;
 	}
-	if (found == this->known.end() || overrides(_news, found->second))
+	if (found == this->knownMembers.end() || overrides(_update, found->second))
 	{
-		this->store(_news, _now, _retell);
+		this->store(_update, _now, _spread);
 	}
 }
 
@@ -181,16 +182,16 @@
 {
 	std::vector<SendGossip> out;
 	// A list of all members is no news to the others.
-	const bool retell = _message.news.size() <= this->config.newsAtMost + 2;
-	for (const Member& news : _message.news)
+	const bool spread = _message.updates.size() <= this->config.maxUpdatesPerMessage + 2;
+	for (const Member& update : _message.updates)
 	{
 		// A node that is held for dead and speaks is told so, and objects with a new version.
-		this->hear(news, _now, retell);
+		this->applyUpdate(update, _now, spread);
 	}
-	const auto sender = this->known.find(_from);
-	if (sender != this->known.end() && sender->second.state != MemberState::Alive)
+	const auto sender = this->knownMembers.find(_from);
+	if (sender != this->knownMembers.end() && sender->second.state != MemberState::Alive)
 	{
-		this->rumours[_from] = Rumour{};
+		this->pendingUpdates[_from] = PendingUpdate{};
 	}
 	switch (_message.kind)
 	{
@@ -199,12 +200,12 @@
 		break;
 	case GossipKind::Join:
 		out.push_back(this->message(_from, GossipKind::Ack, _message.sequence));
-		out.back().message.news = this->allMembers();
+		out.back().message.updates = this->allMembers();
 		break;
 	case GossipKind::PingRequest:
 	{
 		const std::uint64_t sequence = ++this->lastSequence;
-		this->relayed[sequence] = {_from, _message.sequence};
+		this->relayedPings[sequence] = {_from, _message.sequence};
 		out.push_back(this->message(_message.target, GossipKind::Ping, sequence));
 		break;
 	}
@@ -214,11 +215,11 @@
 		{
 			this->probe->answered = true;
 		}
-		const auto asked = this->relayed.find(_message.sequence);
-		if (asked != this->relayed.end())
+		const auto relayedPing = this->relayedPings.find(_message.sequence);
+		if (relayedPing != this->relayedPings.end())
 		{
-			out.push_back(this->message(asked->second.first, GossipKind::Ack, asked->second.second));
-			this->relayed.erase(asked);
+			out.push_back(this->message(relayedPing->second.first, GossipKind::Ack, relayedPing->second.second));
+			this->relayedPings.erase(relayedPing);
 		}
 		break;
 	}
@@ -228,8 +229,8 @@
 
 void Membership::suspect(const std::string& _address, Micros _now)
 {
-	const auto found = this->known.find(_address);
-	if (found != this->known.end() && found->second.state == MemberState::Alive)
+	const auto found = this->knownMembers.find(_address);
+	if (found != this->knownMembers.end() && found->second.state == MemberState::Alive)
 	{
 		Member suspected = found->second;
 		suspected.state = MemberState::Suspect;
@@ -239,38 +240,39 @@
 
 void Membership::expireSuspects(Micros _now)
 {
-	const Micros limit = this->config.suspicion * static_cast<Micros>(std::max(kLogarithmBase, this->logarithm())) /
-						 static_cast<Micros>(kLogarithmBase);
+	const Micros timeout = this->config.suspicionTimeout *
+						   static_cast<Micros>(std::max(kSuspicionBaseLog2, this->log2OfMembers())) /
+						   static_cast<Micros>(kSuspicionBaseLog2);
 	std::vector<std::string> dead;
-	std::vector<std::string> forgotten;
-	for (const auto& entry : this->troubledSince)
+	std::vector<std::string> expired;
+	for (const auto& entry : this->notAliveSince)
 	{
-		const Micros since = _now - entry.second;
-		const bool suspected = this->known.at(entry.first).state == MemberState::Suspect;
-		if (suspected && since >= limit)
+		const Micros elapsed = _now - entry.second;
+		const bool isSuspect = this->knownMembers.at(entry.first).state == MemberState::Suspect;
+		if (isSuspect && elapsed >= timeout)
 		{
 			dead.push_back(entry.first);
 		}
-		if (!suspected && since >= this->config.forgetAfter)
+		if (!isSuspect && elapsed >= this->config.goneRetention)
 		{
-			forgotten.push_back(entry.first);
+			expired.push_back(entry.first);
 		}
 	}
 	for (const std::string& address : dead)
 	{
-		Member member = this->known.at(address);
+		Member member = this->knownMembers.at(address);
 		member.state = MemberState::Dead;
 		this->store(member, _now, true);
 	}
-	for (const std::string& address : forgotten)
+	for (const std::string& address : expired)
 	{
-		this->known.erase(address);
-		this->troubledSince.erase(address);
-		this->rumours.erase(address);
+		this->knownMembers.erase(address);
+		this->notAliveSince.erase(address);
+		this->pendingUpdates.erase(address);
 	}
 }
 
-void Membership::nextProbe(Micros _now, std::vector<SendGossip>& _out)
+void Membership::startNextProbe(Micros _now, std::vector<SendGossip>& _out)
 {
 	if (this->probe && !this->probe->answered)
 	{
@@ -279,25 +281,25 @@
 	this->probe.reset();
 	while (true)
 	{
-		if (this->order.empty())
+		if (this->probeOrder.empty())
 		{
-			for (const auto& entry : this->known)
+			for (const auto& entry : this->knownMembers)
 			{
 				if (entry.first != this->self && isAlive(entry.second))
 				{
-					this->order.push_back(entry.first);
+					this->probeOrder.push_back(entry.first);
 				}
 			}
-			std::shuffle(this->order.begin(), this->order.end(), this->random);
+			std::shuffle(this->probeOrder.begin(), this->probeOrder.end(), this->random);
 		}
-		if (this->order.empty())
+		if (this->probeOrder.empty())
 		{
 			return;
 		}
-		const std::string target = this->order.back();
-		this->order.pop_back();
-		const auto found = this->known.find(target);
-		if (found != this->known.end() && isAlive(found->second))
+		const std::string target = this->probeOrder.back();
+		this->probeOrder.pop_back();
+		const auto found = this->knownMembers.find(target);
+		if (found != this->knownMembers.end() && isAlive(found->second))
 		{
 			this->probe = Probe{target, ++this->lastSequence, _now, false, false};
 			_out.push_back(this->message(target, GossipKind::Ping, this->probe->sequence));
@@ -306,50 +308,50 @@
 	}
 }
 
-void Membership::askHelpers(Micros _now, std::vector<SendGossip>& _out)
+void Membership::requestIndirectProbes(Micros _now, std::vector<SendGossip>& _out)
 {
-	if (!this->probe || this->probe->answered || this->probe->helped ||
+	if (!this->probe || this->probe->answered || this->probe->indirectRequested ||
 		_now - this->probe->sentAt < this->config.ackTimeout)
 	{
 		return;
 	}
-	this->probe->helped = true;
-	std::vector<std::string> helpers = this->alive();
-	std::erase(helpers, this->self);
-	std::erase(helpers, this->probe->target);
-	std::shuffle(helpers.begin(), helpers.end(), this->random);
-	helpers.resize(std::min(helpers.size(), this->config.helpers));
-	for (const std::string& helper : helpers)
+	this->probe->indirectRequested = true;
+	std::vector<std::string> relayNodes = this->alive();
+	std::erase(relayNodes, this->self);
+	std::erase(relayNodes, this->probe->target);
+	std::shuffle(relayNodes.begin(), relayNodes.end(), this->random);
+	relayNodes.resize(std::min(relayNodes.size(), this->config.indirectProbes));
+	for (const std::string& relayNode : relayNodes)
 	{
-		SendGossip request = this->message(helper, GossipKind::PingRequest, this->probe->sequence);
+		SendGossip request = this->message(relayNode, GossipKind::PingRequest, this->probe->sequence);
 		request.message.target = this->probe->target;
 		_out.push_back(std::move(request));
 	}
 }
 
-void Membership::trySeed(Micros _now, std::vector<SendGossip>& _out)
+void Membership::contactSeed(Micros _now, std::vector<SendGossip>& _out)
 {
-	std::vector<std::string> strangers;
+	std::vector<std::string> unreachedSeeds;
 	for (const std::string& seed : this->seeds)
 	{
-		const auto found = this->known.find(seed);
-		if (found == this->known.end() || !isAlive(found->second))
+		const auto found = this->knownMembers.find(seed);
+		if (found == this->knownMembers.end() || !isAlive(found->second))
 		{
-			strangers.push_back(seed);
+			unreachedSeeds.push_back(seed);
 		}
 	}
 	this->nextSeedAt = _now + this->config.seedPeriod;
-	if (strangers.empty())
+	if (unreachedSeeds.empty())
 	{
 		return;
 	}
-	const std::string& target = strangers[this->random() % strangers.size()];
+	const std::string& target = unreachedSeeds[this->random() % unreachedSeeds.size()];
 	SendGossip ping = this->message(target, GossipKind::Join, ++this->lastSequence);
-	const auto found = this->known.find(target);
-	if (found != this->known.end())
+	const auto found = this->knownMembers.find(target);
+	if (found != this->knownMembers.end())
 	{
 		// So that it hears for what it is held, and can object.
-		ping.message.news.push_back(found->second);
+		ping.message.updates.push_back(found->second);
 	}
 	_out.push_back(std::move(ping));
 	// Until the first node has answered there is nobody else to talk to, so that no time is lost.
@@ -362,33 +364,34 @@
 	std::vector<SendGossip> out;
 	if (_now >= this->nextExpiryAt)
 	{
-		this->nextExpiryAt = _now + this->config.period / 2;
+		this->nextExpiryAt = _now + this->config.probePeriod / 2;
 		this->expireSuspects(_now);
 	}
 	if (_now >= this->nextSeedAt)
 	{
-		this->trySeed(_now, out);
+		this->contactSeed(_now, out);
 	}
 	if (_now >= this->nextProbeAt)
 	{
-		this->nextProbeAt = _now + this->config.period;
-		this->nextProbe(_now, out);
+		this->nextProbeAt = _now + this->config.probePeriod;
+		this->startNextProbe(_now, out);
 		// Probes made for others are answered within a period or not at all.
-		std::erase_if(this->relayed, [this](const auto& _entry) { return _entry.first + 64 < this->lastSequence; });
+		std::erase_if(this->relayedPings,
+					  [this](const auto& _entry) { return _entry.first + 64 < this->lastSequence; });
 		return out;
 	}
-	this->askHelpers(_now, out);
+	this->requestIndirectProbes(_now, out);
 	return out;
 }
 
 std::vector<SendGossip> Membership::leave()
 {
-	Member& own = this->known.at(this->self);
+	Member& own = this->knownMembers.at(this->self);
 	own.state = MemberState::Left;
-	this->rumours[this->self] = Rumour{};
+	this->pendingUpdates[this->self] = PendingUpdate{};
 	std::vector<std::string> others = this->alive();
 	std::shuffle(others.begin(), others.end(), this->random);
-	others.resize(std::min(others.size(), kFarewells));
+	others.resize(std::min(others.size(), kLeaveRecipients));
 	std::vector<SendGossip> out;
 	out.reserve(others.size());
 	for (const std::string& other : others)
@@ -400,13 +403,13 @@
 
 const std::map<std::string, Member>& Membership::members() const
 {
-	return this->known;
+	return this->knownMembers;
 }
 
 std::vector<std::string> Membership::alive() const
 {
 	std::vector<std::string> result;
-	for (const auto& entry : this->known)
+	for (const auto& entry : this->knownMembers)
 	{
 		if (isAlive(entry.second))
 		{
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -131,12 +131,11 @@
 			{ onControl([this, _peer, _typed] { this->control->onTableAsk(_peer, _typed); }); },
 			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
 			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
-			[&](const Farewell& _typed) { this->traffic->hearFarewell(_typed); },
+			[&](const ShutdownReport& _typed) { this->traffic->hearFarewell(_typed); },
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->view->onGossip(_peer, _typed); }); },
 			[&](const DemandReport& _typed)
 			{ onControl([this, _peer, _typed] { this->view->onDemand(_peer, _typed); }); },
-			[&](const ShareGrant& _typed)
-			{ onControl([this, _peer, _typed] { this->view->onShares(_peer, _typed); }); },
+			[&](const ShareGrant& _typed) { onControl([this, _peer, _typed] { this->view->onGrant(_peer, _typed); }); },
 			// Of nodes that forward; this kind of node takes no part.
 			[](const RoutesAsk&) {},
 			[](const RoutesGive&) {},
@@ -202,7 +201,7 @@
 {
 	this->farewellAt = monotonicNow();
 	this->traffic->drain();
-	const Farewell word = this->traffic->farewell();
+	const ShutdownReport word = this->traffic->farewell();
 	for (const std::string& peer : this->control->peers())
 	{
 		this->link->send(peer, encode(word));
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -231,7 +231,7 @@
 					   {"ready", this->control.ready()},
 					   {"draining", this->traffic.draining()},
 					   {"table_offset", static_cast<qint64>(this->control.log().table().snapshot().offset)},
-					   {"in_force_offset", static_cast<qint64>(this->view.inForce())},
+					   {"in_force_offset", static_cast<qint64>(this->view.lowestTableOffset())},
 					   {"members", members},
 					   {"shares", shares},
 					   {"log_gap", this->control.log().hasGap()},
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -74,10 +74,10 @@
 	return QCborMap{{"type", "leaving"}, {"endpoints", textArray(_message.endpoints)}};
 }
 
-QCborMap toCbor(const Farewell& _message)
+QCborMap toCbor(const ShutdownReport& _message)
 {
 	QCborArray ended;
-	for (const auto& entry : _message.ended)
+	for (const auto& entry : _message.outcomes)
 	{
 		const Outcome& outcome = entry.second;
 		ended.append(QCborArray{static_cast<qint64>(entry.first), static_cast<qint64>(outcome.verdict),
@@ -86,14 +86,14 @@
 	return QCborMap{{"type", "farewell"},
 					{"node", text(_message.issuer.node)},
 					{"incarnation", static_cast<qint64>(_message.issuer.number)},
-					{"forgotten", static_cast<qint64>(_message.forgottenUpTo)},
+					{"forgotten", static_cast<qint64>(_message.expiredUpTo)},
 					{"ended", ended}};
 }
 
 QCborMap toCbor(const Gossip& _message)
 {
 	QCborArray news;
-	for (const Member& member : _message.news)
+	for (const Member& member : _message.updates)
 	{
 		news.append(QCborArray{text(member.address), static_cast<qint64>(member.version),
 							   static_cast<qint64>(member.state), static_cast<qint64>(member.tableOffset)});
@@ -229,18 +229,18 @@
 	return message;
 }
 
-Farewell readFarewell(CborReader& _reader)
+ShutdownReport readFarewell(CborReader& _reader)
 {
-	Farewell message;
+	ShutdownReport message;
 	message.issuer = Incarnation{_reader.text("node"), _reader.natural("incarnation")};
-	message.forgottenUpTo = _reader.natural("forgotten");
+	message.expiredUpTo = _reader.natural("forgotten");
 	for (const QCborArray& entry : _reader.arrays("ended", 4))
 	{
 		Outcome outcome;
 		outcome.verdict = static_cast<Verdict>(_reader.below(entry.at(1), kVerdicts, "ended"));
 		outcome.reason = static_cast<Reason>(_reader.below(entry.at(2), kReasons, "ended"));
 		outcome.repeatSafe = entry.at(3).toBool();
-		message.ended.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
+		message.outcomes.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
 	}
 	return message;
 }
@@ -258,7 +258,7 @@
 		member.version = static_cast<std::uint64_t>(entry.at(1).toInteger());
 		member.state = static_cast<MemberState>(_reader.below(entry.at(2), kMemberStates, "news"));
 		member.tableOffset = static_cast<std::uint64_t>(entry.at(3).toInteger());
-		message.news.push_back(member);
+		message.updates.push_back(member);
 	}
 	return message;
 }
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -92,9 +92,9 @@
 	bool operator==(const RoutesGive&) const = default;
 };
 
-using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord, Farewell,
-								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedAsk, FeedNews, PieceAsk,
-								 PieceGive, PieceDrop, PieceFree>;
+using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord,
+								 ShutdownReport, Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedAsk,
+								 FeedNews, PieceAsk, PieceGive, PieceDrop, PieceFree>;
 
 /// @returns The message as CBOR.
 std::string encode(const PeerMessage& _message);
--- a/src/piece_messages.cpp
+++ b/src/piece_messages.cpp
@@ -67,7 +67,7 @@
 		return std::nullopt;
 	}
 	AdmissionTerms terms;
-	terms.waitMost = _reader.integer("wait_most");
+	terms.maxWait = _reader.integer("wait_most");
 	terms.refusable = _reader.boolean("refusable");
 	for (const QCborArray& fields : _reader.arrays("demand", 2))
 	{
@@ -93,7 +93,7 @@
 		{
 			demand.append(QCborArray{text(pool.pool), static_cast<qint64>(pool.pieces)});
 		}
-		map.insert(QStringLiteral("wait_most"), static_cast<qint64>(_message.admission->waitMost));
+		map.insert(QStringLiteral("wait_most"), static_cast<qint64>(_message.admission->maxWait));
 		map.insert(QStringLiteral("refusable"), _message.admission->refusable);
 		map.insert(QStringLiteral("demand"), demand);
 	}
--- a/src/piece_scheduler.cpp
+++ b/src/piece_scheduler.cpp
@@ -90,7 +90,7 @@
 	if (!verdict.admitted)
 	{
 		const std::string request = _ask.orders.empty() ? std::string() : _ask.orders.front().request;
-		_actions.emplace_back(RequestCrowded{request, _from, _ask.admission->waitMost, verdict.waits});
+		_actions.emplace_back(RequestCrowded{request, _from, _ask.admission->maxWait, verdict.waits});
 	}
 	return verdict.admitted;
 }
--- a/src/stage_admission.cpp
+++ b/src/stage_admission.cpp
@@ -40,18 +40,18 @@
 
 double StageAdmission::rateOf(const Pool& _pool) const
 {
-	const Micros call = _pool.limits.callTime + _pool.limits.pieceTime * _pool.limits.batch;
-	if (call <= 0)
+	const Micros callTime = _pool.limits.callTime + _pool.limits.pieceTime * _pool.limits.batch;
+	if (callTime <= 0)
 	{
 		return 0;
 	}
-	const std::int64_t atOnce = _pool.endpoints * _pool.limits.slots * _pool.limits.batch;
-	return this->config.efficiency * static_cast<double>(atOnce) / static_cast<double>(call);
+	const std::int64_t concurrentPieces = _pool.endpoints * _pool.limits.slots * _pool.limits.batch;
+	return this->config.efficiency * static_cast<double>(concurrentPieces) / static_cast<double>(callTime);
 }
 
 double StageAdmission::backlogOf(const Pool& _pool, Micros _now) const
 {
-	return std::max(0.0, _pool.backlog - this->rateOf(_pool) * static_cast<double>(_now - _pool.at));
+	return std::max(0.0, _pool.backlog - this->rateOf(_pool) * static_cast<double>(_now - _pool.backlogAt));
 }
 
 Micros StageAdmission::backlogTime(const std::string& _pool, Micros _now) const
@@ -68,16 +68,16 @@
 									   Micros _now)
 {
 	AdmissionVerdict verdict;
-	Micros sum = 0;
+	Micros totalWait = 0;
 	for (const PoolDemand& demand : _terms.demand)
 	{
-		const auto known = _waits.find(demand.pool);
-		const Micros queued = known == _waits.end() ? 0 : known->second;
+		const auto queueWait = _waits.find(demand.pool);
+		const Micros queued = queueWait == _waits.end() ? 0 : queueWait->second;
 		const Micros wait = std::max(queued, this->backlogTime(demand.pool, _now));
 		verdict.waits[demand.pool] = wait;
-		sum += wait;
+		totalWait += wait;
 	}
-	verdict.admitted = !_terms.refusable || sum <= _terms.waitMost;
+	verdict.admitted = !_terms.refusable || totalWait <= _terms.maxWait;
 	if (!verdict.admitted)
 	{
 		return verdict;
@@ -86,7 +86,7 @@
 	{
 		Pool& pool = this->pools[demand.pool];
 		pool.backlog = this->backlogOf(pool, _now) + static_cast<double>(demand.pieces);
-		pool.at = _now;
+		pool.backlogAt = _now;
 	}
 	return verdict;
 }
--- a/src/ticket.cpp
+++ b/src/ticket.cpp
@@ -21,9 +21,9 @@
 {
 
 constexpr char kSeparator = '~';
-constexpr std::size_t kTextLimit = 200;
+constexpr std::size_t kMaxTextLength = 200;
 
-Outcome refusal(Reason _reason, bool _repeatSafe)
+Outcome makeOutcome(Reason _reason, bool _repeatSafe)
 {
 	const Verdict verdict = _repeatSafe ? Verdict::NotRun : Verdict::Unknown;
 	return Outcome{verdict, _reason, _repeatSafe, 0, {}};
@@ -39,7 +39,7 @@
 
 absl::StatusOr<Ticket> ticketFromText(std::string_view _text)
 {
-	if (_text.size() > kTextLimit)
+	if (_text.size() > kMaxTextLength)
 	{
 		return absl::InvalidArgumentError("ticket: must be at most 200 characters");
 	}
@@ -60,11 +60,11 @@
 	return ticket;
 }
 
-TicketBook::TicketBook(Incarnation _self, TicketLimits _limits) : identity(std::move(_self)), limits(_limits)
+TicketRegistry::TicketRegistry(Incarnation _self, TicketLimits _limits) : identity(std::move(_self)), limits(_limits)
 {
 }
 
-absl::StatusOr<Ticket> TicketBook::issue(const std::string& _workspace, std::uint64_t _nonce, Micros _now)
+absl::StatusOr<Ticket> TicketRegistry::issue(const std::string& _workspace, std::uint64_t _nonce, Micros _now)
 {
 	this->expire(_now);
 	if (this->entries.size() >= this->limits.capacity)
@@ -76,13 +76,13 @@
 	Entry entry;
 	entry.workspace = _workspace;
 	entry.nonce = _nonce;
-	entry.since = _now;
+	entry.issuedOrEndedAt = _now;
 	this->entries.emplace(serial, std::move(entry));
-	this->expiry.emplace_back(_now + this->limits.unusedLife, serial);
+	this->expiry.emplace_back(_now + this->limits.unusedTtl, serial);
 	return Ticket{this->identity, serial, _nonce};
 }
 
-const TicketBook::Entry* TicketBook::find(const Ticket& _ticket, const std::string& _workspace) const
+const TicketRegistry::Entry* TicketRegistry::find(const Ticket& _ticket, const std::string& _workspace) const
 {
 	const auto found = this->entries.find(_ticket.serial);
 	if (found == this->entries.end())
@@ -94,18 +94,18 @@
 	return match ? &entry : nullptr;
 }
 
-TicketDecision TicketBook::present(const Ticket& _ticket, const std::string& _workspace, std::uint64_t _digest,
-								   Micros _now)
+TicketDecision TicketRegistry::present(const Ticket& _ticket, const std::string& _workspace, std::uint64_t _digest,
+									   Micros _now)
 {
 	if (_ticket.issuer != this->identity)
 	{
-		return TicketElsewhere{_ticket.issuer};
+		return TicketOtherIssuer{_ticket.issuer};
 	}
 	this->expire(_now);
 	const Entry* found = this->find(_ticket, _workspace);
 	if (found == nullptr)
 	{
-		return TicketRefused{refusal(Reason::TicketExpired, false)};
+		return TicketRefused{makeOutcome(Reason::TicketExpired, false)};
 	}
 	Entry& entry = this->entries.at(_ticket.serial);
 	if (entry.state == TicketState::Unused)
@@ -116,7 +116,7 @@
 	}
 	if (entry.digest != 0 && entry.digest != _digest)
 	{
-		return TicketRefused{refusal(Reason::TicketMismatch, false)};
+		return TicketRefused{makeOutcome(Reason::TicketMismatch, false)};
 	}
 	if (entry.state == TicketState::Running)
 	{
@@ -125,7 +125,7 @@
 	return TicketReplay{entry.outcome};
 }
 
-void TicketBook::end(const Ticket& _ticket, const Outcome& _outcome, Micros _now)
+void TicketRegistry::recordOutcome(const Ticket& _ticket, const Outcome& _outcome, Micros _now)
 {
 	const auto found = this->entries.find(_ticket.serial);
 	if (_ticket.issuer != this->identity || found == this->entries.end())
@@ -139,19 +139,19 @@
 	}
 	entry.state = TicketState::Ended;
 	entry.outcome = _outcome;
-	entry.since = _now;
+	entry.issuedOrEndedAt = _now;
 }
 
-TicketDecision TicketBook::seal(const Ticket& _ticket, const std::string& _workspace, Micros _now)
+TicketDecision TicketRegistry::revoke(const Ticket& _ticket, const std::string& _workspace, Micros _now)
 {
 	if (_ticket.issuer != this->identity)
 	{
-		return TicketElsewhere{_ticket.issuer};
+		return TicketOtherIssuer{_ticket.issuer};
 	}
 	this->expire(_now);
 	if (this->find(_ticket, _workspace) == nullptr)
 	{
-		return TicketRefused{refusal(Reason::TicketExpired, false)};
+		return TicketRefused{makeOutcome(Reason::TicketExpired, false)};
 	}
 	Entry& entry = this->entries.at(_ticket.serial);
 	if (entry.state == TicketState::Running)
@@ -161,27 +161,27 @@
 	if (entry.state == TicketState::Unused)
 	{
 		entry.state = TicketState::Ended;
-		entry.outcome = refusal(Reason::TicketSealed, true);
-		entry.since = _now;
+		entry.outcome = makeOutcome(Reason::TicketSealed, true);
+		entry.issuedOrEndedAt = _now;
 	}
 	return TicketReplay{entry.outcome};
 }
 
-std::pair<TicketState, Outcome> TicketBook::look(const Ticket& _ticket, const std::string& _workspace) const
+std::pair<TicketState, Outcome> TicketRegistry::stateOf(const Ticket& _ticket, const std::string& _workspace) const
 {
 	if (_ticket.issuer != this->identity)
 	{
-		return {TicketState::Elsewhere, Outcome{}};
+		return {TicketState::OtherIssuer, Outcome{}};
 	}
 	const Entry* entry = this->find(_ticket, _workspace);
 	if (entry == nullptr)
 	{
-		return {TicketState::Forgotten, refusal(Reason::TicketExpired, false)};
+		return {TicketState::Unknown, makeOutcome(Reason::TicketExpired, false)};
 	}
 	return {entry->state, entry->outcome};
 }
 
-void TicketBook::expire(Micros _now)
+void TicketRegistry::expire(Micros _now)
 {
 	while (!this->expiry.empty() && this->expiry.front().first <= _now)
 	{
@@ -194,69 +194,70 @@
 		}
 		const Entry& entry = found->second;
 		const bool running = entry.state == TicketState::Running;
-		const bool fresh = entry.state == TicketState::Ended && entry.since + this->limits.outcomeLife > _now;
-		if (running || fresh)
+		const bool outcomeRetained =
+			entry.state == TicketState::Ended && entry.issuedOrEndedAt + this->limits.outcomeTtl > _now;
+		if (running || outcomeRetained)
 		{
-			this->expiry.emplace_back(_now + this->limits.outcomeLife, serial);
+			this->expiry.emplace_back(_now + this->limits.outcomeTtl, serial);
 			continue;
 		}
-		this->forgottenUpTo = std::max(this->forgottenUpTo, serial);
+		this->expiredUpTo = std::max(this->expiredUpTo, serial);
 		this->entries.erase(found);
 	}
 }
 
-Farewell TicketBook::farewell(Micros _now)
+ShutdownReport TicketRegistry::shutDown(Micros _now)
 {
-	Farewell word;
-	word.issuer = this->identity;
-	word.forgottenUpTo = this->forgottenUpTo;
+	ShutdownReport report;
+	report.issuer = this->identity;
+	report.expiredUpTo = this->expiredUpTo;
 	for (auto& entry : this->entries)
 	{
 		if (entry.second.state == TicketState::Unused)
 		{
 			entry.second.state = TicketState::Ended;
-			entry.second.outcome = refusal(Reason::TicketSealed, true);
-			entry.second.since = _now;
+			entry.second.outcome = makeOutcome(Reason::TicketSealed, true);
+			entry.second.issuedOrEndedAt = _now;
 		}
 		// A request that is running has no outcome that others could give: it stays unknown.
 		const bool running = entry.second.state == TicketState::Running;
-		word.ended[entry.first] = running ? refusal(Reason::CutWhileRunning, false) : entry.second.outcome;
+		report.outcomes[entry.first] = running ? makeOutcome(Reason::CutWhileRunning, false) : entry.second.outcome;
 	}
-	return word;
+	return report;
 }
 
-FarewellBook::FarewellBook(Micros _life) : life(_life)
+ShutdownReportCache::ShutdownReportCache(Micros _ttl) : ttl(_ttl)
 {
 }
 
-void FarewellBook::add(const Farewell& _farewell, Micros _now)
+void ShutdownReportCache::add(const ShutdownReport& _report, Micros _now)
 {
-	std::erase_if(this->farewells, [&](const auto& _entry) { return _entry.second.first + this->life <= _now; });
-	this->farewells.emplace(_farewell.issuer, std::pair(_now, _farewell));
+	std::erase_if(this->reports, [&](const auto& _entry) { return _entry.second.first + this->ttl <= _now; });
+	this->reports.emplace(_report.issuer, std::pair(_now, _report));
 }
 
-std::optional<Outcome> FarewellBook::look(const Ticket& _ticket, Micros _now) const
+std::optional<Outcome> ShutdownReportCache::outcomeOf(const Ticket& _ticket, Micros _now) const
 {
-	const auto found = this->farewells.find(_ticket.issuer);
-	if (found == this->farewells.end() || found->second.first + this->life <= _now)
+	const auto found = this->reports.find(_ticket.issuer);
+	if (found == this->reports.end() || found->second.first + this->ttl <= _now)
 	{
 		return std::nullopt;
 	}
-	const Farewell& word = found->second.second;
-	const auto ended = word.ended.find(_ticket.serial);
-	if (ended != word.ended.end())
+	const ShutdownReport& report = found->second.second;
+	const auto outcome = report.outcomes.find(_ticket.serial);
+	if (outcome != report.outcomes.end())
 	{
-		return ended->second;
+		return outcome->second;
 	}
-	return refusal(Reason::TicketExpired, _ticket.serial > word.forgottenUpTo);
+	return makeOutcome(Reason::TicketExpired, _ticket.serial > report.expiredUpTo);
 }
 
-std::size_t TicketBook::size() const
+std::size_t TicketRegistry::size() const
 {
 	return this->entries.size();
 }
 
-const Incarnation& TicketBook::self() const
+const Incarnation& TicketRegistry::self() const
 {
 	return this->identity;
 }
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -81,7 +81,7 @@
 Traffic::Traffic(IoPool& _pool, HttpClient& _client, Metrics& _metrics, TraceWriter& _traces, TrafficSettings _settings)
 	: pool(_pool), client(_client), metrics(_metrics), traces(_traces), settings(std::move(_settings)),
 	  dispatcher(settings.dispatcher), tickets(settings.self, settings.tickets), results(settings.answerBytes),
-	  farewells(settings.tickets.unusedLife + settings.tickets.outcomeLife), table(std::make_shared<Table>())
+	  farewells(settings.tickets.unusedTtl + settings.tickets.outcomeTtl), table(std::make_shared<Table>())
 {
 }
 
@@ -190,7 +190,7 @@
 			[](const TicketRun&) {},
 			[&](const TicketAttach&) { this->attach(_ticket.serial, ticketText, Outcome{}, _sink); },
 			[&](const TicketReplay& _typed) { this->attach(_ticket.serial, ticketText, _typed.outcome, _sink); },
-			[&](const TicketElsewhere&) { issuer = this->elsewhere(_ticket, _sink); },
+			[&](const TicketOtherIssuer&) { issuer = this->elsewhere(_ticket, _sink); },
 			[&](const TicketRefused& _typed) { this->deliverStored(0, ticketText, _typed.outcome, _sink); },
 		},
 		_decision);
@@ -202,7 +202,7 @@
 	std::optional<Outcome> outcome;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		outcome = this->farewells.look(_ticket, monotonicNow());
+		outcome = this->farewells.outcomeOf(_ticket, monotonicNow());
 	}
 	if (!outcome)
 	{
@@ -237,7 +237,7 @@
 						{
 							const std::lock_guard<std::mutex> guard(this->lock);
 							running = this->actives.count(active->id) > 0;
-							outcome = this->tickets.look(active->ticket, active->submission.workspace).second;
+							outcome = this->tickets.stateOf(active->ticket, active->submission.workspace).second;
 						}
 						if (!running)
 						{
@@ -447,7 +447,7 @@
 	_active->tokens.clear();
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		this->tickets.end(_active->ticket, _outcome, now);
+		this->tickets.recordOutcome(_active->ticket, _outcome, now);
 		if (_outcome.reason == Reason::WorkspaceLimit)
 		{
 			this->limitRefusals[_active->submission.workspace] += 1;
@@ -476,12 +476,12 @@
 	std::pair<TicketState, Outcome> found;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		found = this->tickets.look(_ticket, _workspace);
+		found = this->tickets.stateOf(_ticket, _workspace);
 	}
 	const std::string ticketText = roadferry::toText(_ticket);
 	switch (found.first)
 	{
-	case TicketState::Elsewhere:
+	case TicketState::OtherIssuer:
 		return this->elsewhere(_ticket, _sink);
 	case TicketState::Unused:
 	case TicketState::Running:
@@ -490,7 +490,7 @@
 		_sink->result(202, 0, roadferry::toText(QJsonObject{{"request", text(ticketText)}, {"state", state}}));
 		return std::nullopt;
 	}
-	case TicketState::Forgotten:
+	case TicketState::Unknown:
 		this->deliverStored(0, ticketText, found.second, _sink);
 		return std::nullopt;
 	case TicketState::Ended:
@@ -507,7 +507,7 @@
 	Actions actions;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		decision = this->tickets.seal(_ticket, _workspace, monotonicNow());
+		decision = this->tickets.revoke(_ticket, _workspace, monotonicNow());
 		const auto request = this->requestOfSerial.find(_ticket.serial);
 		if (std::holds_alternative<TicketAttach>(decision) && request != this->requestOfSerial.end())
 		{
@@ -622,13 +622,13 @@
 	return demand;
 }
 
-Farewell Traffic::farewell()
+ShutdownReport Traffic::farewell()
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->tickets.farewell(monotonicNow());
+	return this->tickets.shutDown(monotonicNow());
 }
 
-void Traffic::hearFarewell(const Farewell& _farewell)
+void Traffic::hearFarewell(const ShutdownReport& _farewell)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->farewells.add(_farewell, monotonicNow());
--- a/src/traffic.h
+++ b/src/traffic.h
@@ -120,10 +120,10 @@
 
 	/// Ends this incarnation: no ticket of it runs any more. Call when nothing is in flight.
 	/// @returns What other nodes need to answer for it.
-	Farewell farewell();
+	ShutdownReport farewell();
 
 	/// Takes the farewell of another incarnation.
-	void hearFarewell(const Farewell& _farewell);
+	void hearFarewell(const ShutdownReport& _farewell);
 
 	[[nodiscard]] bool draining() const;
 	[[nodiscard]] std::size_t inFlight() const;
@@ -163,9 +163,9 @@
 
 	mutable std::mutex lock; ///< Guards everything below.
 	Dispatcher dispatcher;
-	TicketBook tickets;
+	TicketRegistry tickets;
 	ResultStore results;
-	FarewellBook farewells;
+	ShutdownReportCache farewells;
 	std::map<std::string, std::int64_t> limitRefusals;
 	std::shared_ptr<const Table> table;
 	std::unordered_map<std::uint64_t, ActivePointer> actives; ///< By request.
--- a/tests/membership_world.h
+++ b/tests/membership_world.h
@@ -118,8 +118,8 @@
 		for (const SendGossip& message : _messages)
 		{
 			const auto found = std::find(this->seeds.begin(), this->seeds.end(), message.to);
-			this->messages += 1;
-			this->news += message.message.news.size();
+			this->messagesSent += 1;
+			this->updatesSent += message.message.updates.size();
 			this->network.send(_from, static_cast<std::size_t>(found - this->seeds.begin()), message.message);
 		}
 	}
@@ -129,8 +129,8 @@
 	VirtualNetwork<Gossip> network;
 	std::vector<std::string> seeds;
 	Micros now = kSecond;
-	std::uint64_t messages = 0; ///< Sent by all nodes.
-	std::uint64_t news = 0;
+	std::uint64_t messagesSent = 0; ///< Sent by all nodes.
+	std::uint64_t updatesSent = 0;
 
 private:
 	void receive(std::size_t _from, std::size_t _to, const Gossip& _message)
--- a/tests/share_world.h
+++ b/tests/share_world.h
@@ -33,7 +33,7 @@
 
 	void start(std::size_t _index)
 	{
-		this->nodes[_index] = std::make_unique<ShareMeter>(this->all[_index], ShareConfig{});
+		this->nodes[_index] = std::make_unique<ShareAllocator>(this->all[_index], ShareConfig{});
 		this->nodes[_index]->setLimits(this->limits);
 		this->nodes[_index]->setNodes(this->all, this->all, this->now);
 		this->demand[_index] = {};
@@ -44,7 +44,7 @@
 		this->nodes[_index] = nullptr;
 	}
 
-	void view(std::size_t _index, const std::vector<std::string>& _alive)
+	void setAliveNodes(std::size_t _index, const std::vector<std::string>& _alive)
 	{
 		this->nodes[_index]->setNodes(this->all, _alive, this->now);
 	}
@@ -66,10 +66,10 @@
 				const std::string& to =
 					std::visit([](const auto& _typed) -> const std::string& { return _typed.to; }, action);
 				const auto found = std::lower_bound(this->all.begin(), this->all.end(), to);
-				this->messages += 1;
-				if (this->watch)
+				this->messagesSent += 1;
+				if (this->onSend)
 				{
-					this->watch(action);
+					this->onSend(action);
 				}
 				this->network.send(index, static_cast<std::size_t>(found - this->all.begin()), action);
 			}
@@ -111,15 +111,15 @@
 		return total;
 	}
 
-	std::vector<std::unique_ptr<ShareMeter>> nodes;
+	std::vector<std::unique_ptr<ShareAllocator>> nodes;
 	std::map<std::size_t, std::map<std::string, std::int64_t>> demand;
 	std::set<std::size_t> frozen;
 	VirtualNetwork<ShareAction> network;
 	std::vector<std::string> all;
 	std::map<std::string, std::int64_t> limits;
 	Micros now = kSecond;
-	std::uint64_t messages = 0;
-	std::function<void(const ShareAction&)> watch; ///< Sees each message that is sent.
+	std::uint64_t messagesSent = 0;
+	std::function<void(const ShareAction&)> onSend; ///< Sees each message that is sent.
 
 private:
 	void receive(std::size_t _from, std::size_t _to, const ShareAction& _message)
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -18,15 +18,15 @@
 
 using namespace roadferry;
 
-constexpr Micros kCall = 240 * kMillisecond;
-constexpr Micros kPiece = 10 * kMillisecond;
-constexpr std::int64_t kBatch = 10;
+constexpr Micros kCallTime = 240 * kMillisecond;
+constexpr Micros kPieceTime = 10 * kMillisecond;
+constexpr std::int64_t kBatchSize = 10;
 
 PoolSpec pool(const std::string& _name)
 {
 	PoolSpec spec;
 	spec.name = _name;
-	spec.batches = BatchLimits{1, kBatch, kCall, kPiece, 4 * kSecond, 0};
+	spec.batches = BatchLimits{1, kBatchSize, kCallTime, kPieceTime, 4 * kSecond, 0};
 	return spec;
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// An admission before two pools of two endpoints each; at its whole rate a pool makes 20 pieces in 340 ms.
-StageAdmission twoPools()
+StageAdmission admissionOfTwoPools()
 {
 	StageAdmission admission(AdmissionConfig{1.0});
 	admission.setPools({pool("first"), pool("second")});
@@ -45,9 +45,9 @@
 	return admission;
 }
 
-AdmissionTerms terms(Micros _waitMost, bool _refusable = true)
+AdmissionTerms terms(Micros _maxWait, bool _refusable = true)
 {
-	return AdmissionTerms{_waitMost, _refusable, {PoolDemand{"first", 1}, PoolDemand{"second", 5}}};
+	return AdmissionTerms{_maxWait, _refusable, {PoolDemand{"first", 1}, PoolDemand{"second", 5}}};
 }
 
 PieceOrder order(std::uint64_t _number, Micros _now)
@@ -75,10 +75,10 @@
 
 } // namespace
 
-Test(admission, later_stages_of_a_burst_are_foreseen_when_it_comes)
+Test(admission, burst_is_refused_by_the_predicted_backlog_of_later_stages)
 {
 	// No piece has reached the second pool yet; its backlog alone must turn the burst's later requests away.
-	StageAdmission admission = twoPools();
+	StageAdmission admission = admissionOfTwoPools();
 	int admitted = 0;
 	while (admitted < 1'000 && admission.admit(terms(500 * kMillisecond), {}, kSecond).admitted)
 	{
@@ -89,9 +89,9 @@
 	cr_assert(admission.admit(terms(500 * kMillisecond), {}, kSecond + 400 * kMillisecond).admitted);
 }
 
-Test(admission, request_that_was_refused_before_is_let_in_and_counted)
+Test(admission, non_refusable_request_is_admitted_and_counted)
 {
-	StageAdmission admission = twoPools();
+	StageAdmission admission = admissionOfTwoPools();
 	for (int index = 0; index < 50; ++index)
 	{
 		cr_assert(admission.admit(terms(0, false), {}, kSecond).admitted);
@@ -100,9 +100,9 @@
 	cr_assert_not(admission.admit(terms(2 * kSecond), {}, kSecond).admitted);
 }
 
-Test(admission, known_wait_counts_where_it_is_longer_than_the_backlog)
+Test(admission, queue_wait_counts_when_it_exceeds_the_backlog_wait)
 {
-	StageAdmission admission = twoPools();
+	StageAdmission admission = admissionOfTwoPools();
 	const AdmissionVerdict verdict =
 		admission.admit(terms(300 * kMillisecond), {{"second", 400 * kMillisecond}}, kSecond);
 	cr_assert_not(verdict.admitted);
@@ -110,7 +110,7 @@
 	cr_assert_eq(admission.backlogTime("second", kSecond), 0); // What is refused is not counted.
 }
 
-Test(admission, pool_without_endpoints_turns_nobody_away)
+Test(admission, pool_without_endpoints_admits_every_request)
 {
 	StageAdmission admission(AdmissionConfig{});
 	admission.setPools({pool("first"), pool("second")});
@@ -121,12 +121,12 @@
 	}
 }
 
-Test(admission, what_is_let_in_is_bounded_by_the_rate)
+Test(admission, admitted_pieces_are_bounded_by_the_pool_rate)
 {
 	checkHistories("admission",
 				   []
 				   {
-					   StageAdmission admission = twoPools();
+					   StageAdmission admission = admissionOfTwoPools();
 					   Micros now = kSecond;
 					   std::int64_t pieces = 0;
 					   const int steps = *rc::gen::inRange(1, 200);
@@ -136,12 +136,13 @@
 						   pieces += admission.admit(terms(500 * kMillisecond), {}, now).admitted ? 5 : 0;
 					   }
 					   // 20 pieces each 340 ms, 500 ms ahead, and the one request that reaches beyond.
-					   const double most = static_cast<double>(now - kSecond + 500 * kMillisecond) * 20 / 340'000 + 5;
-					   RC_ASSERT(static_cast<double>(pieces) <= most);
+					   const double maxPieces =
+						   static_cast<double>(now - kSecond + 500 * kMillisecond) * 20 / 340'000 + 5;
+					   RC_ASSERT(static_cast<double>(pieces) <= maxPieces);
 				   });
 }
 
-Test(admission, node_of_the_first_pool_refuses_for_all_nodes)
+Test(admission, batch_node_of_the_first_pool_refuses_for_all_nodes)
 {
 	const std::vector<std::string> members = {"10.0.1.1:1", "10.0.1.2:1"};
 	const std::string deciding = batchNodeOf("first", members);
@@ -170,38 +171,39 @@
 	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
 }
 
-Test(admission, results_of_a_node_that_has_left_are_freed_by_those_who_hold_them)
+Test(admission, results_of_a_node_that_has_left_are_freed_by_their_holder)
 {
 	const std::vector<std::string> members = {"10.0.1.1:1", "10.0.1.2:1"};
-	const std::string maker = batchNodeOf("first", members);
-	const std::string holder = maker == members[0] ? members[1] : members[0];
+	const std::string batchNode = batchNodeOf("first", members);
+	const std::string holder = batchNode == members[0] ? members[1] : members[0];
 	PieceScheduler node(holder, PieceSchedulerConfig{});
 	node.setPools({pool("first")});
 	node.setMembers(members, 0);
 	node.order("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
-	node.receive(maker, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}}, kSecond);
-	const PieceActions told = node.free({"h-1"}, kSecond);
-	cr_assert(std::get<SendPieceMessage>(told.front()).to == maker);
+	node.receive(batchNode, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}},
+				 kSecond);
+	const PieceActions forwarded = node.free({"h-1"}, kSecond);
+	cr_assert(std::get<SendPieceMessage>(forwarded.front()).to == batchNode);
 	node.setMembers({holder}, kSecond);
 	const PieceActions freed = node.free({"h-2"}, kSecond);
 	cr_assert(std::get<FreeResult>(freed.front()) == FreeResult{"h-2"});
 }
 
-Test(admission, stages_that_are_left_out_take_no_time)
+Test(admission, skipped_stages_take_no_time)
 {
 	RoutePlanData data;
 	data.pools = {pool("first"), pool("second")};
 	Route route;
 	route.stages = {{"first", {}, 10}, {"first", {}, 10}, {"second", {1}, 10}};
 	const RoutePlan plan(data);
-	const Micros one = kCall + kPiece * kBatch / 2;
-	const std::vector<std::int64_t> all = {2, 1, 4};
-	const std::vector<std::int64_t> some = {2, 0, 0};
-	const StagedRoute whole{plan, route, all};
-	cr_assert_eq(whole.timeOfAll(), 2 * one);
-	cr_assert_eq(whole.timeAfter(1), one);
-	cr_assert(whole.demand() == (std::vector<PoolDemand>{{"first", 3}, {"second", 4}}));
-	const StagedRoute part{plan, route, some};
-	cr_assert_eq(part.timeOfAll(), one);
-	cr_assert(part.demand() == (std::vector<PoolDemand>{{"first", 2}}));
+	const Micros stageTime = kCallTime + kPieceTime * kBatchSize / 2;
+	const std::vector<std::int64_t> allCounts = {2, 1, 4};
+	const std::vector<std::int64_t> someCounts = {2, 0, 0};
+	const StagedRoute allStages{plan, route, allCounts};
+	cr_assert_eq(allStages.timeOfAll(), 2 * stageTime);
+	cr_assert_eq(allStages.timeAfter(1), stageTime);
+	cr_assert(allStages.demand() == (std::vector<PoolDemand>{{"first", 3}, {"second", 4}}));
+	const StagedRoute someStages{plan, route, someCounts};
+	cr_assert_eq(someStages.timeOfAll(), stageTime);
+	cr_assert(someStages.demand() == (std::vector<PoolDemand>{{"first", 2}}));
 }
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -24,49 +24,49 @@
 	return result;
 }
 
-constexpr Micros kDetect = 20 * kSecond;
+constexpr Micros kConvergenceTimeout = 20 * kSecond;
 
 } // namespace
 
-Test(membership, seven_nodes_find_each_other_and_notice_a_kill)
+Test(membership, seven_nodes_discover_each_other_and_detect_a_kill)
 {
 	MembershipWorld world(7);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
 	world.kill(6);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 6)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 6)); }, kConvergenceTimeout).has_value());
 	world.start(6);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
 }
 
-Test(membership, planned_leave_is_known_without_suspicion)
+Test(membership, planned_leave_spreads_without_suspicion)
 {
 	MembershipWorld world(7);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
 	world.sendAll(6, world.nodes[6]->leave());
 	world.kill(6);
-	const auto taken = world.runUntil([&] { return world.agree(range(0, 6)); }, kDetect);
-	cr_assert(taken.has_value());
-	cr_assert_leq(*taken, 2 * kSecond);
+	const auto elapsed = world.runUntil([&] { return world.agree(range(0, 6)); }, kConvergenceTimeout);
+	cr_assert(elapsed.has_value());
+	cr_assert_leq(*elapsed, 2 * kSecond);
 	cr_assert(world.nodes[0]->members().at(MembershipWorld::address(6)).state == MemberState::Left);
 }
 
-Test(membership, frozen_node_objects_when_it_wakes)
+Test(membership, frozen_node_refutes_its_death_when_it_resumes)
 {
 	MembershipWorld world(7);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
 	world.frozen.insert(3);
 	std::set<std::size_t> others = range(0, 7);
 	others.erase(3);
-	cr_assert(world.runUntil([&] { return world.agree(others); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(others); }, kConvergenceTimeout).has_value());
 	world.frozen.clear();
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
 }
 
-Test(membership, one_way_cut_between_two_nodes_kills_neither)
+Test(membership, one_way_cut_marks_neither_node_dead)
 {
 	MembershipWorld world(7);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kDetect).has_value());
-	world.network.cut.insert({0, 1});
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 7)); }, kConvergenceTimeout).has_value());
+	world.network.cutLinks.insert({0, 1});
 	for (int second = 0; second < 60; ++second)
 	{
 		world.run(kSecond);
@@ -74,38 +74,38 @@
 	}
 }
 
-Test(membership, halves_that_were_split_for_an_hour_join_again)
+Test(membership, partitioned_halves_rejoin_after_an_hour)
 {
 	MembershipWorld world(8);
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 8)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 8)); }, kConvergenceTimeout).has_value());
 	for (std::size_t left = 0; left < 4; ++left)
 	{
 		for (std::size_t right = 4; right < 8; ++right)
 		{
-			world.network.cut.insert({left, right});
-			world.network.cut.insert({right, left});
+			world.network.cutLinks.insert({left, right});
+			world.network.cutLinks.insert({right, left});
 		}
 	}
-	cr_assert(
-		world.runUntil([&] { return world.agree(range(0, 4)) && world.agree(range(4, 8)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 4)) && world.agree(range(4, 8)); }, kConvergenceTimeout)
+				  .has_value());
 	world.run(3600 * kSecond);
-	world.network.cut.clear();
+	world.network.cutLinks.clear();
 	cr_assert(world.runUntil([&] { return world.agree(range(0, 8)); }, 40 * kSecond).has_value());
 }
 
-Test(membership, process_with_its_clock_set_back_is_believed)
+Test(membership, restarted_process_with_an_earlier_clock_rejoins)
 {
 	MembershipWorld world(5);
 	world.run(100 * kSecond);
 	world.kill(2);
-	world.run(kDetect);
+	world.run(kConvergenceTimeout);
 	world.now -= 90 * kSecond;
 	world.start(2);
 	world.now += 90 * kSecond;
-	cr_assert(world.runUntil([&] { return world.agree(range(0, 5)); }, kDetect).has_value());
+	cr_assert(world.runUntil([&] { return world.agree(range(0, 5)); }, kConvergenceTimeout).has_value());
 }
 
-Test(membership, random_faults_end_in_one_view)
+Test(membership, views_converge_after_random_faults)
 {
 	checkHistories("membership",
 				   []
@@ -134,12 +134,12 @@
 						   }
 						   else
 						   {
-							   world.network.cut.insert({node, other});
+							   world.network.cutLinks.insert({node, other});
 						   }
 						   world.run(*rc::gen::inRange<Micros>(1, 8) * kSecond);
 					   }
 					   world.frozen.clear();
-					   world.network.cut.clear();
+					   world.network.cutLinks.clear();
 					   RC_ASSERT(world.runUntil([&] { return world.agree(running); }, 60 * kSecond).has_value());
 				   });
 }
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -19,14 +19,14 @@
 
 std::vector<PeerMessage> samples()
 {
-	Farewell farewell;
+	ShutdownReport farewell;
 	farewell.issuer = Incarnation{"10.0.0.1:8500", 18'000'000'000'000'000'000U};
-	farewell.forgottenUpTo = 3;
-	farewell.ended[4] = Outcome{Verdict::NotRun, Reason::TicketSealed, true, 0, {}};
+	farewell.expiredUpTo = 3;
+	farewell.outcomes[4] = Outcome{Verdict::NotRun, Reason::TicketSealed, true, 0, {}};
 	Gossip gossip;
 	gossip.kind = GossipKind::Join;
 	gossip.sequence = 7;
-	gossip.news = {Member{"10.0.0.2:8500", 9, MemberState::Suspect, 12}};
+	gossip.updates = {Member{"10.0.0.2:8500", 9, MemberState::Suspect, 12}};
 	return {RelayRequest{1, RelayKind::Cancel, "t", "hall", "mark", std::string("\0\xff{", 3), "00-a-b-01"},
 			RelayToken{1, 2, "token"},
 			RelayResult{1, 503, 200'000, "{}"},
--- a/tests/test_shares.cpp
+++ b/tests/test_shares.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(shares, skewed_demand_gets_what_idle_nodes_leave)
+Test(shares, skewed_demand_uses_the_shares_of_idle_nodes)
 {
 	ShareWorld world(7, kLimits);
 	world.demand[2]["hall"] = 600;
@@ -29,7 +29,7 @@
 	cr_assert_geq(world.used("hall"), kLimit - 6 * 25 - 6);
 }
 
-Test(shares, cut_node_falls_back_to_its_even_split_and_the_sum_holds)
+Test(shares, isolated_node_falls_back_to_its_even_split_within_the_limit)
 {
 	ShareWorld world(7, kLimits);
 	for (std::size_t node = 0; node < 7; ++node)
@@ -39,8 +39,8 @@
 	world.run(20 * kSecond);
 	for (std::size_t other = 0; other < 7; ++other)
 	{
-		world.network.cut.insert({3, other});
-		world.network.cut.insert({other, 3});
+		world.network.cutLinks.insert({3, other});
+		world.network.cutLinks.insert({other, 3});
 	}
 	for (int step = 0; step < 600; ++step)
 	{
@@ -70,10 +70,10 @@
 							   world.demand[node]["hall"] = *rc::gen::inRange<std::int64_t>(0, 900);
 							   break;
 						   case 3:
-							   world.network.cut.insert({node, other});
+							   world.network.cutLinks.insert({node, other});
 							   break;
 						   case 4:
-							   world.network.cut.clear();
+							   world.network.cutLinks.clear();
 							   break;
 						   case 5:
 							   world.start(node);
--- a/tests/test_tickets.cpp
+++ b/tests/test_tickets.cpp
@@ -21,7 +21,7 @@
 /// A node that may be frozen: frozen, it acts on nothing; woken, it acts as if no time had passed.
 struct ModelNode
 {
-	std::unique_ptr<TicketBook> book;
+	std::unique_ptr<TicketRegistry> registry;
 	bool frozen = false;
 	std::vector<std::pair<Ticket, std::uint64_t>> inbox; ///< Copies that arrived while it was frozen.
 };
@@ -30,7 +30,7 @@
 struct Oracle
 {
 	std::map<Ticket, int> runs;
-	std::set<Ticket> toldNotRun;
+	std::set<Ticket> reportedNotRun;
 	std::map<Ticket, std::uint64_t> ranDigest;
 };
 
@@ -49,11 +49,11 @@
 	void restart(std::size_t _node)
 	{
 		TicketLimits limits;
-		limits.unusedLife = 50 * kSecond;
-		limits.outcomeLife = 50 * kSecond;
+		limits.unusedTtl = 50 * kSecond;
+		limits.outcomeTtl = 50 * kSecond;
 		limits.capacity = 1'000;
 		const Incarnation identity{"node-" + std::to_string(_node), ++this->lastIncarnation};
-		this->nodes[_node].book = std::make_unique<TicketBook>(identity, limits);
+		this->nodes[_node].registry = std::make_unique<TicketRegistry>(identity, limits);
 		this->nodes[_node].frozen = false;
 		this->nodes[_node].inbox.clear();
 	}
@@ -64,7 +64,7 @@
 		{
 			return;
 		}
-		const auto ticket = this->nodes[_node].book->issue("hall", ++this->nonce, this->now);
+		const auto ticket = this->nodes[_node].registry->issue("hall", ++this->nonce, this->now);
 		RC_ASSERT(ticket.ok());
 		this->tickets.push_back(*ticket);
 	}
@@ -76,8 +76,8 @@
 		{
 			return;
 		}
-		const TicketDecision decision = this->nodes[_node].book->present(_ticket, "hall", _digest, this->now);
-		if (const auto* elsewhere = std::get_if<TicketElsewhere>(&decision))
+		const TicketDecision decision = this->nodes[_node].registry->present(_ticket, "hall", _digest, this->now);
+		if (const auto* elsewhere = std::get_if<TicketOtherIssuer>(&decision))
 		{
 			this->deliver(elsewhere->issuer.node.back() - '0', _ticket, _digest);
 			return;
@@ -92,7 +92,7 @@
 			this->nodes[_node].inbox.emplace_back(_ticket, _digest);
 			return;
 		}
-		this->observe(_ticket, _digest, this->nodes[_node].book->present(_ticket, "hall", _digest, this->now));
+		this->observe(_ticket, _digest, this->nodes[_node].registry->present(_ticket, "hall", _digest, this->now));
 	}
 
 	void observe(const Ticket& _ticket, std::uint64_t _digest, const TicketDecision& _decision)
@@ -102,18 +102,18 @@
 			this->oracle.runs[_ticket] += 1;
 			this->oracle.ranDigest[_ticket] = _digest;
 		}
-		const Outcome* told = nullptr;
+		const Outcome* reported = nullptr;
 		if (const auto* replay = std::get_if<TicketReplay>(&_decision))
 		{
-			told = &replay->outcome;
+			reported = &replay->outcome;
 		}
 		if (const auto* refused = std::get_if<TicketRefused>(&_decision))
 		{
-			told = &refused->outcome;
+			reported = &refused->outcome;
 		}
-		if (told != nullptr && told->verdict == Verdict::NotRun)
+		if (reported != nullptr && reported->verdict == Verdict::NotRun)
 		{
-			this->oracle.toldNotRun.insert(_ticket);
+			this->oracle.reportedNotRun.insert(_ticket);
 		}
 		if (std::holds_alternative<TicketAttach>(_decision) || std::holds_alternative<TicketReplay>(_decision))
 		{
@@ -124,20 +124,20 @@
 		this->check();
 	}
 
-	void seal(std::size_t _node, const Ticket& _ticket)
+	void revoke(std::size_t _node, const Ticket& _ticket)
 	{
 		if (!this->nodes[_node].frozen)
 		{
-			this->observeSeal(_ticket, this->nodes[_node].book->seal(_ticket, "hall", this->now));
+			this->observeRevocation(_ticket, this->nodes[_node].registry->revoke(_ticket, "hall", this->now));
 		}
 	}
 
-	void observeSeal(const Ticket& _ticket, const TicketDecision& _decision)
+	void observeRevocation(const Ticket& _ticket, const TicketDecision& _decision)
 	{
 		const auto* replay = std::get_if<TicketReplay>(&_decision);
 		if (replay != nullptr && replay->outcome.verdict == Verdict::NotRun)
 		{
-			this->oracle.toldNotRun.insert(_ticket);
+			this->oracle.reportedNotRun.insert(_ticket);
 		}
 		this->check();
 	}
@@ -147,7 +147,8 @@
 		const bool running = this->oracle.runs.count(_ticket) > 0;
 		if (running && !this->nodes[_node].frozen)
 		{
-			this->nodes[_node].book->end(_ticket, Outcome{Verdict::Answered, Reason::None, false, 0, {}}, this->now);
+			this->nodes[_node].registry->recordOutcome(_ticket, Outcome{Verdict::Answered, Reason::None, false, 0, {}},
+													   this->now);
 		}
 	}
 
@@ -172,7 +173,7 @@
 		for (const auto& entry : this->oracle.runs)
 		{
 			RC_ASSERT(entry.second <= 1);
-			RC_ASSERT(this->oracle.toldNotRun.count(entry.first) == 0);
+			RC_ASSERT(this->oracle.reportedNotRun.count(entry.first) == 0);
 		}
 	}
 
@@ -205,7 +206,7 @@
 		_world.present(node, ticket, digest);
 		break;
 	case 4:
-		_world.seal(node, ticket);
+		_world.revoke(node, ticket);
 		break;
 	case 5:
 		_world.end(node, ticket);
@@ -228,7 +229,7 @@
 
 } // namespace
 
-Test(tickets, never_run_twice_and_not_run_means_not_run)
+Test(tickets, ticket_runs_at_most_once_and_never_after_not_run)
 {
 	checkHistories("tickets",
 				   []
@@ -242,7 +243,7 @@
 				   });
 }
 
-Test(tickets, text_reads_back_and_rubbish_is_refused)
+Test(tickets, text_round_trips_and_malformed_text_is_rejected)
 {
 	checkHistories("ticket text",
 				   []
@@ -251,25 +252,25 @@
 										   *rc::gen::arbitrary<std::uint64_t>(),
 										   *rc::gen::arbitrary<std::uint64_t>()};
 					   RC_ASSERT(ticketFromText(toText(ticket)).value() == ticket);
-					   const auto rubbish = *rc::gen::arbitrary<std::string>();
-					   const auto parsed = ticketFromText(rubbish);
+					   const auto malformedText = *rc::gen::arbitrary<std::string>();
+					   const auto parsed = ticketFromText(malformedText);
 					   const bool named = parsed.ok() || parsed.status().message().find("ticket: ") == 0;
 					   RC_ASSERT(named);
 				   });
 }
 
-Test(tickets, full_book_refuses_and_recovers)
+Test(tickets, full_registry_rejects_issue_until_tickets_expire)
 {
 	TicketLimits limits;
 	limits.capacity = 2;
-	limits.unusedLife = kSecond;
-	TicketBook book(Incarnation{"n", 1}, limits);
-	cr_assert(book.issue("hall", 1, 0).ok());
-	const auto second = book.issue("hall", 2, 0);
+	limits.unusedTtl = kSecond;
+	TicketRegistry registry(Incarnation{"n", 1}, limits);
+	cr_assert(registry.issue("hall", 1, 0).ok());
+	const auto second = registry.issue("hall", 2, 0);
 	cr_assert(second.ok());
-	cr_assert_not(book.issue("hall", 3, 0).ok());
-	cr_assert(book.issue("hall", 4, 2 * kSecond).ok());
-	const TicketDecision late = book.present(*second, "hall", 5, 2 * kSecond);
+	cr_assert_not(registry.issue("hall", 3, 0).ok());
+	cr_assert(registry.issue("hall", 4, 2 * kSecond).ok());
+	const TicketDecision late = registry.present(*second, "hall", 5, 2 * kSecond);
 	cr_assert(std::holds_alternative<TicketRefused>(late));
 	cr_assert(std::get<TicketRefused>(late).outcome.verdict == Verdict::Unknown);
 }
--- a/tests/virtual_network.h
+++ b/tests/virtual_network.h
@@ -27,24 +27,24 @@
 	/// Takes a message on its way, unless the link is cut.
 	void send(std::size_t _from, std::size_t _to, Message _message)
 	{
-		if (this->cut.count({_from, _to}) == 0)
+		if (this->cutLinks.count({_from, _to}) == 0)
 		{
-			this->onTheWay.push_back(Delivery{_from, _to, std::move(_message)});
+			this->undelivered.push_back(Delivery{_from, _to, std::move(_message)});
 		}
 	}
 
 	/// Hands over all messages that are on the way.
 	void deliver(const std::function<void(std::size_t, std::size_t, const Message&)>& _receive)
 	{
-		const std::vector<Delivery> now = std::move(this->onTheWay);
-		this->onTheWay.clear();
+		const std::vector<Delivery> now = std::move(this->undelivered);
+		this->undelivered.clear();
 		for (const Delivery& delivery : now)
 		{
 			_receive(delivery.from, delivery.to, delivery.message);
 		}
 	}
 
-	std::set<std::pair<std::size_t, std::size_t>> cut; ///< From and to.
+	std::set<std::pair<std::size_t, std::size_t>> cutLinks; ///< From and to.
 
 private:
 	struct Delivery
@@ -54,7 +54,7 @@
 		Message message;
 	};
 
-	std::vector<Delivery> onTheWay;
+	std::vector<Delivery> undelivered;
 };
 
 } // namespace roadferry
--- a/tools/bench_capacity.cpp
+++ b/tools/bench_capacity.cpp
@@ -53,15 +53,15 @@
 void reportTickets(BenchReport& _report)
 {
 	const Allocations before = allocationsNow();
-	TicketBook book(Incarnation{"10.0.0.1:8500", 1}, TicketLimits{});
+	TicketRegistry registry(Incarnation{"10.0.0.1:8500", 1}, TicketLimits{});
 	std::vector<Ticket> tickets;
 	tickets.reserve(kTickets);
 	const auto reserved = static_cast<double>(kTickets * sizeof(Ticket));
 	const Cost issue = costOf(kTickets, [&](std::size_t _index)
-							  { tickets.push_back(*book.issue("workspace-of-usual-length", _index, 0)); });
+							  { tickets.push_back(*registry.issue("workspace-of-usual-length", _index, 0)); });
 	_report.atMost("ticket.bytes", (liveBytes(before) - reserved) / static_cast<double>(kTickets), "B", 400);
-	const Cost present =
-		costOf(kTickets, [&](std::size_t _index) { book.present(tickets[_index], "workspace-of-usual-length", 1, 1); });
+	const Cost present = costOf(kTickets, [&](std::size_t _index)
+								{ registry.present(tickets[_index], "workspace-of-usual-length", 1, 1); });
 	_report.noBound("ticket.issue", issue.nanoseconds, "ns");
 	_report.noBound("ticket.present", present.nanoseconds, "ns");
 }
@@ -182,8 +182,8 @@
 	for (std::size_t index = 0; index < kMembers; ++index)
 	{
 		Gossip gossip;
-		gossip.news.push_back(Member{"10.0.1." + std::to_string(index) + ":8500", 1, MemberState::Alive, 0});
-		membership.receive(gossip.news.front().address, gossip, 1);
+		gossip.updates.push_back(Member{"10.0.1." + std::to_string(index) + ":8500", 1, MemberState::Alive, 0});
+		membership.receive(gossip.updates.front().address, gossip, 1);
 	}
 	_report.atMost("membership.bytes_per_member", liveBytes(before) / kMembers, "B", 800);
 	const Cost tick =
--- a/tools/bench_scale.cpp
+++ b/tools/bench_scale.cpp
@@ -53,8 +53,8 @@
 	const auto size = [](std::size_t _count)
 	{
 		Gossip gossip;
-		gossip.news.assign(_count,
-						   Member{MembershipWorld::address(0), 1'800'000'000'000'000, MemberState::Alive, 9'000});
+		gossip.updates.assign(_count,
+							  Member{MembershipWorld::address(0), 1'800'000'000'000'000, MemberState::Alive, 9'000});
 		return static_cast<double>(encode(gossip).size());
 	};
 	const double perNews = size(2) - size(1);
@@ -69,8 +69,8 @@
 	const auto joined = world.runUntil([&] { return world.agree(all); }, kSettle);
 	_report.atMost(named("membership.all_started_at_once", _nodes), seconds(joined, kSettle), "s", 60);
 	// With ordinary churn: one table edit each ten seconds at the letter's size, told by every node.
-	const std::uint64_t messages = world.messages;
-	const std::uint64_t news = world.news;
+	const std::uint64_t messages = world.messagesSent;
+	const std::uint64_t news = world.updatesSent;
 	for (Micros second = 0; second < kMeasure / kSecond; ++second)
 	{
 		if (second % 10 == 0)
@@ -82,7 +82,7 @@
 		}
 		world.run(kSecond);
 	}
-	const double bytes = gossipBytes(world.messages - messages, world.news - news);
+	const double bytes = gossipBytes(world.messagesSent - messages, world.updatesSent - news);
 	const double perNode = bytes / static_cast<double>(_nodes) / kMeasureSeconds;
 	_report.atMost(named("membership.bytes_sent_per_node", _nodes), perNode, "B/s", kControlBytes / 4);
 	world.kill(_nodes - 1);
@@ -131,14 +131,14 @@
 	{
 		for (std::size_t right = third; right < _nodes; ++right)
 		{
-			world.network.cut.insert({left, right});
-			world.network.cut.insert({right, left});
+			world.network.cutLinks.insert({left, right});
+			world.network.cutLinks.insert({right, left});
 		}
 	}
 	const auto apart = world.runUntil([&] { return world.agree(allBut(_nodes, third)); }, kSettle);
 	_report.atMost(named("recovery.region_cut.view", _nodes), seconds(apart, kSettle), "s", 110);
 	world.run(kMeasure);
-	world.network.cut.clear();
+	world.network.cutLinks.clear();
 	const auto joined = world.runUntil([&] { return world.agree(all); }, kSettle);
 	_report.atMost(named("recovery.region_rejoined.view", _nodes), seconds(joined, kSettle), "s", 60);
 }
@@ -168,8 +168,8 @@
 	{
 		for (std::size_t right = _nodes / 3; right < _nodes; ++right)
 		{
-			world.network.cut.insert({left, right});
-			world.network.cut.insert({right, left});
+			world.network.cutLinks.insert({left, right});
+			world.network.cutLinks.insert({right, left});
 		}
 	}
 	for (int step = 0; step < 300; ++step)
@@ -199,8 +199,8 @@
 	}
 	world.run(15 * kSecond);
 	double bytes = 0;
-	const std::uint64_t before = world.messages;
-	world.watch = [&](const ShareAction& _action)
+	const std::uint64_t before = world.messagesSent;
+	world.onSend = [&](const ShareAction& _action)
 	{
 		std::visit(
 			Overloaded{
@@ -215,7 +215,7 @@
 	const double nodeSeconds = static_cast<double>(_nodes) * kWatchSeconds;
 	_report.atMost(named("shares.bytes_sent_per_node", _nodes), bytes / nodeSeconds, "B/s", kControlBytes / 4);
 	_report.noBound(named("shares.messages_sent_per_node", _nodes),
-					static_cast<double>(world.messages - before) / nodeSeconds, "1/s");
+					static_cast<double>(world.messagesSent - before) / nodeSeconds, "1/s");
 }
 
 } // namespace
