--- a/include/roadferry/parts/admission.h
+++ b/include/roadferry/parts/admission.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Part of the public header: which requests are let in to the pools that make their pieces.
+/// Part of the public header: admission of requests to the pools that process their pieces.
 
 #ifndef ROADFERRY_PARTS_ADMISSION_H_HEADER_GUARD
 #define ROADFERRY_PARTS_ADMISSION_H_HEADER_GUARD
@@ -20,7 +20,7 @@
 namespace roadferry
 {
 
-/// Pieces that a request will ask of one pool, over all its stages.
+/// Pieces of a request for one pool, over all its stages.
 struct PoolDemand
 {
 	std::string pool;
@@ -28,16 +28,16 @@
 	bool operator==(const PoolDemand&) const = default;
 };
 
-/// What a request needs of the pools to be in time.
+/// Conditions under which a request is admitted.
 struct AdmissionTerms
 {
-	Micros maxWait = 0;     ///< Time that its pieces may wait for endpoints, over all its stages.
-	bool refusable = false; ///< Whether it may be told to come back later; else it is only counted.
+	Micros maxWait = 0; ///< Longest time that its pieces may wait for endpoints, summed over the pools of its stages.
+	bool refusable = false; ///< Whether it may be refused, to be retried later; otherwise it is only counted.
 	std::vector<PoolDemand> demand;
 	bool operator==(const AdmissionTerms&) const = default;
 };
 
-/// What decided about a request.
+/// Decision on a request, with the waits behind it.
 struct AdmissionVerdict
 {
 	bool admitted = true;
@@ -45,19 +45,19 @@
 	bool operator==(const AdmissionVerdict&) const = default;
 };
 
-/// Bounds of a StageAdmission.
+/// Settings of a StageAdmission.
 struct AdmissionConfig
 {
-	/// Part of a pool's nominal rate that it reaches: calls are not always full, and results wait for room.
-	/// From plays of busy days of both users (docs/design/platform.md).
+	/// Fraction of its nominal rate that a pool reaches: calls are not always full, and results wait for free capacity.
+	/// From replays of busy days of both users (docs/design/platform.md).
 	double efficiency = 0.75;
 	bool operator==(const AdmissionConfig&) const = default;
 };
 
-/// Lets requests in as long as the pools of all their stages can make their pieces in time. Each pool has a backlog:
-/// what was let in and, at the pool's rate, cannot have been made yet. The later stages of a burst are foreseen that
-/// way when its requests arrive, not when their pieces do. Kept by the node that forms the batches of a request's first
-/// stage.
+/// Admits requests as long as the pools of all their stages can process their pieces in time. Each pool has a backlog:
+/// admitted pieces that, at the pool's rate, cannot have been processed yet. The load of a burst on later stages is
+/// thus predicted when its requests arrive, not when their pieces do. Runs on the node that forms the batches of a
+/// request's first stage.
 class StageAdmission
 {
 public:
@@ -66,12 +66,12 @@
 	void setPools(const std::vector<PoolSpec>& _pools);
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 
-	/// Decides on a request and counts it where it is let in.
-	/// @param[in] _waits Time until a piece would be in a call as the pools' queues have it, for pools where it is
+	/// Decides on a request, and adds its pieces to the backlogs if it is admitted.
+	/// @param[in] _waits Time until a piece would be in a call according to the pools' queues, for pools where it is
 	/// known.
 	AdmissionVerdict admit(const AdmissionTerms& _terms, const std::map<std::string, Micros>& _waits, Micros _now);
 
-	/// @returns Predicted time that a piece waits for a call in a pool, judging by what was let in.
+	/// @returns Predicted time that a piece waits for a call in a pool, from the backlog; 0 for an unknown rate.
 	[[nodiscard]] Micros backlogTime(const std::string& _pool, Micros _now) const;
 
 private:
@@ -79,11 +79,11 @@
 	{
 		BatchLimits limits;
 		std::int64_t endpoints = 0;
-		double backlog = 0; ///< Pieces, at the time below.
+		double backlog = 0; ///< Pieces, as of backlogAt.
 		Micros backlogAt = 0;
 	};
 
-	/// @returns Pieces that the pool makes in a microsecond.
+	/// @returns Pieces that the pool processes per microsecond.
 	[[nodiscard]] double rateOf(const Pool& _pool) const;
 	[[nodiscard]] double backlogOf(const Pool& _pool, Micros _now) const;
 
--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -348,11 +348,11 @@
 std::string_view nameOf(Verdict _verdict);
 std::string_view nameOf(Reason _reason);
 
-/// Names one run of a node's process. A process that is started again is another incarnation.
+/// Identifies one run of a node's process. A restarted process is a new incarnation.
 struct Incarnation
 {
 	std::string node;         ///< Identity of the VM, for instance its address.
-	std::uint64_t number = 0; ///< Random; drawn by the process when it starts.
+	std::uint64_t number = 0; ///< Random, drawn when the process starts.
 	auto operator<=>(const Incarnation&) const = default;
 };
 
@@ -371,7 +371,7 @@
 /// @returns The ticket, or InvalidArgument that says what is wrong with the text.
 absl::StatusOr<Ticket> ticketFromText(std::string_view _text);
 
-/// First copy: run the request now.
+/// First copy of the request: run it now.
 struct TicketRun
 {
 	bool operator==(const TicketRun&) const = default;
@@ -383,21 +383,21 @@
 	bool operator==(const TicketAttach&) const = default;
 };
 
-/// An earlier copy has ended: give its outcome again.
+/// An earlier copy has ended: return its outcome again.
 struct TicketReplay
 {
 	Outcome outcome;
 	bool operator==(const TicketReplay&) const = default;
 };
 
-/// Another incarnation issued it: only that one can say.
+/// Another incarnation issued the ticket: only that one can decide.
 struct TicketOtherIssuer
 {
 	Incarnation issuer;
 	bool operator==(const TicketOtherIssuer&) const = default;
 };
 
-/// Never to be run by this incarnation.
+/// This incarnation never runs the request.
 struct TicketRefused
 {
 	Outcome outcome;
@@ -406,44 +406,45 @@
 
 using TicketDecision = std::variant<TicketRun, TicketAttach, TicketReplay, TicketOtherIssuer, TicketRefused>;
 
-/// What is known of a ticket without presenting a request under it.
+/// State of a ticket, read without presenting a request under it.
 enum class TicketState
 {
 	OtherIssuer,
-	Unknown, ///< Too old, or never issued: nothing can be said.
+	Unknown, ///< Expired or never issued: its outcome is not known.
 	Unused,
 	Running,
 	Ended
 };
 
-/// Sizes and times of a TicketRegistry.
+/// Limits of a TicketRegistry.
 struct TicketLimits
 {
 	Micros unusedTtl = 600 * kSecond;  ///< How long an unused ticket may be presented.
-	Micros outcomeTtl = 600 * kSecond; ///< How long the outcome of an ended one is kept.
-	std::size_t capacity = 500'000;    ///< Most tickets held; more are refused.
+	Micros outcomeTtl = 600 * kSecond; ///< How long the outcome of an ended ticket is kept.
+	std::size_t capacity = 500'000;    ///< Maximum number of tickets held; further ones are refused.
 	bool operator==(const TicketLimits&) const = default;
 };
 
-/// Last word of an incarnation that has stopped as planned. It runs nothing after this.
+/// Final report of an incarnation that stops as planned. The incarnation runs nothing after it.
 struct ShutdownReport
 {
 	Incarnation issuer;
-	std::uint64_t expiredUpTo = 0; ///< Of serials up to this one that are not listed, nothing is known.
-	std::map<std::uint64_t, Outcome> outcomes;
+	/// Serials above this one that are not in `outcomes` never ran; nothing is known of the others.
+	std::uint64_t expiredUpTo = 0;
+	std::map<std::uint64_t, Outcome> outcomes; ///< By serial.
 	bool operator==(const ShutdownReport&) const = default;
 };
 
-/// Answers for incarnations that have said farewell.
+/// Answers for incarnations that have sent a shutdown report.
 class ShutdownReportCache
 {
 public:
-	/// @param[in] _ttl How long a farewell is kept, at least as long as tickets and outcomes live.
+	/// @param[in] _ttl How long a report is kept; at least the TTL of tickets plus that of outcomes.
 	explicit ShutdownReportCache(Micros _ttl);
 
 	void add(const ShutdownReport& _report, Micros _now);
 
-	/// @returns Outcome of the ticket, or nothing when its issuer has not said farewell.
+	/// @returns Outcome of the ticket, or nothing when no report of its issuer is held.
 	[[nodiscard]] std::optional<Outcome> outcomeOf(const Ticket& _ticket, Micros _now) const;
 
 private:
@@ -451,7 +452,7 @@
 	std::map<Incarnation, std::pair<Micros, ShutdownReport>> reports;
 };
 
-/// The tickets that one incarnation has issued. A ticket never moves to another node, so no lease can lapse and no
+/// The tickets that one incarnation has issued. A ticket never moves to another node, so no lease can expire and no
 /// two nodes can disagree about it.
 class TicketRegistry
 {
@@ -462,31 +463,32 @@
 	/// @param[in] _workspace Workspace that may use it.
 	/// @param[in] _nonce Random number from the caller of this function.
 	/// @param[in] _now Current time.
-	/// @returns The ticket, or ResourceExhausted when the book is full.
+	/// @returns The ticket, or ResourceExhausted when the registry is full.
 	absl::StatusOr<Ticket> issue(const std::string& _workspace, std::uint64_t _nonce, Micros _now);
 
 	/// Presents a request under a ticket.
 	/// @param[in] _ticket Ticket from the caller.
 	/// @param[in] _workspace Workspace of the caller.
-	/// @param[in] _digest Hash of the request, to refuse a second, different one.
+	/// @param[in] _digest Hash of the request, to refuse a different request under the same ticket.
 	/// @param[in] _now Current time.
 	TicketDecision present(const Ticket& _ticket, const std::string& _workspace, std::uint64_t _digest, Micros _now);
 
-	/// Records how a running ticket ended. The first outcome stays.
+	/// Records the outcome of a running ticket. Later outcomes of the same ticket are ignored.
 	void recordOutcome(const Ticket& _ticket, const Outcome& _outcome, Micros _now);
 
-	/// Makes sure that an unused ticket never runs.
-	/// @returns Replay of the outcome if it has ended, Attach if it is running, Refused otherwise.
+	/// Revokes an unused ticket, so that it never runs. Its outcome is Reason::TicketSealed.
+	/// @returns TicketReplay if it has ended or is revoked, TicketAttach if it is running, TicketOtherIssuer if another
+	/// incarnation issued it, TicketRefused otherwise.
 	TicketDecision revoke(const Ticket& _ticket, const std::string& _workspace, Micros _now);
 
-	/// @returns State of a ticket, and its outcome where it has ended.
+	/// @returns State of a ticket, and its outcome if it has ended.
 	[[nodiscard]] std::pair<TicketState, Outcome> stateOf(const Ticket& _ticket, const std::string& _workspace) const;
 
-	/// Forgets what is older than the limits allow.
+	/// Removes tickets and outcomes whose TTL has passed.
 	void expire(Micros _now);
 
-	/// Seals all unused tickets for good, at the end of a planned stop with nothing running.
-	/// @returns What other nodes need to answer for this incarnation when it is gone.
+	/// Revokes all unused tickets. Called at the end of a planned stop, with nothing running.
+	/// @returns What other nodes need to answer for this incarnation after it has stopped.
 	ShutdownReport shutDown(Micros _now);
 
 	[[nodiscard]] std::size_t size() const;
@@ -508,9 +510,9 @@
 	Incarnation identity;
 	TicketLimits limits;
 	std::uint64_t lastSerial = 0;
-	std::uint64_t expiredUpTo = 0; ///< Highest serial that was forgotten.
+	std::uint64_t expiredUpTo = 0; ///< Highest serial that was removed.
 	std::unordered_map<std::uint64_t, Entry> entries;
-	std::deque<std::pair<Micros, std::uint64_t>> expiry; ///< Time of the next look at a serial, oldest first.
+	std::deque<std::pair<Micros, std::uint64_t>> expiry; ///< Next expiry check of each serial, oldest first.
 };
 
 // ---------------------------------------------------------------------------------------------------------------
@@ -520,20 +522,20 @@
 enum class MemberState
 {
 	Alive,
-	Suspect, ///< Did not answer; counts as alive until its time to object has passed.
+	Suspect, ///< Did not answer a probe; counts as alive until the suspicion times out.
 	Dead,
-	Left ///< Has stopped as planned.
+	Left ///< Stopped as planned.
 };
 
 std::string_view nameOf(MemberState _state);
 
-/// What is told of one node.
+/// State of one node, as sent in gossip.
 struct Member
 {
 	std::string address;
-	std::uint64_t version = 0; ///< Grows with each start of the process and each objection to a false suspicion.
+	std::uint64_t version = 0; ///< Grows with each start of the process and each refutation of a false suspicion.
 	MemberState state = MemberState::Alive;
-	std::uint64_t tableOffset = 0; ///< Offset of the table in force there.
+	std::uint64_t tableOffset = 0; ///< Offset of the table in force on that node.
 	bool operator==(const Member&) const = default;
 };
 
@@ -541,17 +543,17 @@
 {
 	Ping,
 	Ack,
-	PingRequest, ///< Asks the receiver to ping a third node, and to pass its answer back.
-	Join         ///< A ping that asks for all members in the answer.
+	PingRequest, ///< Asks the receiver to ping a third node and to relay its answer.
+	Join         ///< A ping whose answer lists all members.
 };
 
-/// A heartbeat with news of some members.
+/// A heartbeat that carries updates of some members.
 struct Gossip
 {
 	GossipKind kind = GossipKind::Ping;
-	std::uint64_t sequence = 0;  ///< Echoed by the answer.
-	std::string target;          ///< Of a PingRequest; empty otherwise.
-	std::vector<Member> updates; ///< The sender itself first.
+	std::uint64_t sequence = 0;  ///< Echoed in the answer.
+	std::string target;          ///< Node to ping in a PingRequest; empty otherwise.
+	std::vector<Member> updates; ///< The sender's own state first.
 	bool operator==(const Gossip&) const = default;
 };
 
@@ -563,45 +565,46 @@
 	bool operator==(const SendGossip&) const = default;
 };
 
-/// Times and sizes of Membership.
+/// Timing and sizes of Membership.
 struct MembershipConfig
 {
-	Micros probePeriod = kSecond;           ///< Between two probes.
-	Micros ackTimeout = 300 * kMillisecond; ///< Until other nodes are asked to probe.
-	Micros suspicionTimeout = 3 * kSecond;  ///< Time to object, for up to eight nodes; grows with their logarithm.
-	std::size_t indirectProbes = 3;         ///< Nodes asked to probe.
-	std::size_t updatesPerMessage = 8;      ///< On an ordinary day,
-	std::size_t maxUpdatesPerMessage = 40;  ///< and after the loss of many nodes at once.
-	Micros seedPeriod = 5 * kSecond;        ///< Between two tries to reach a listed node that is not alive.
-	Micros goneRetention = 600 * kSecond;   ///< How long a node that is gone is remembered.
+	Micros probePeriod = kSecond;           ///< Time between two probes.
+	Micros ackTimeout = 300 * kMillisecond; ///< Time without an answer before indirect probes are requested.
+	Micros suspicionTimeout = 3 * kSecond;  ///< Time to refute, for up to eight nodes; grows with their logarithm.
+	std::size_t indirectProbes = 3;         ///< Nodes asked to probe a node that did not answer.
+	std::size_t updatesPerMessage = 8;      ///< Pending updates in a message, if there are that many.
+	std::size_t maxUpdatesPerMessage = 40;  ///< Upper bound after the loss of many nodes at once.
+	Micros seedPeriod = 5 * kSecond;        ///< Time between two attempts to contact a listed node that is not alive.
+	Micros goneRetention = 600 * kSecond;   ///< How long a dead node, or one that has left, is remembered.
 	bool operator==(const MembershipConfig&) const = default;
 };
 
-/// Which nodes are alive, by probes and gossip; each node spends the same however many there are. The view decides
-/// shares and who appends snapshots, and never who may run a ticket.
+/// Tracks which nodes are alive, by probes and gossip. The cost per node does not depend on the number of nodes. The
+/// view decides on shares and on which node appends snapshots, but never on which node may run a ticket.
 class Membership
 {
 public:
 	/// @param[in] _address Own address.
-	/// @param[in] _version First version, above that of earlier processes at this address: wall clock at start.
+	/// @param[in] _version First version, above that of earlier processes at this address: the wall clock at start.
 	Membership(std::string _address, std::uint64_t _version, MembershipConfig _config, std::uint64_t _seed);
 
-	/// Tells of nodes that the VM list shows, which may or may not be alive.
+	/// Sets the nodes of the VM list, alive or not.
 	void setSeeds(const std::vector<std::string>& _addresses);
 
-	/// Tells other nodes which offset is in force here: those that are talked to directly, in each message.
+	/// Sets the table offset in force on this node. Each message carries it to its receiver; it is not disseminated
+	/// further.
 	void setTableOffset(std::uint64_t _offset);
 
 	std::vector<SendGossip> receive(const std::string& _from, const Gossip& _message, Micros _now);
 	std::vector<SendGossip> tick(Micros _now);
 
-	/// Tells some nodes that this one leaves as planned.
+	/// @returns Messages that announce to some nodes that this one leaves as planned.
 	std::vector<SendGossip> leave();
 
-	/// @returns All members that are known, this node among them, by address.
+	/// @returns All known members by address, including this node.
 	[[nodiscard]] const std::map<std::string, Member>& members() const;
 
-	/// @returns Addresses of the nodes that count as alive, this one among them, sorted.
+	/// @returns Sorted addresses of the nodes that count as alive, including this one.
 	[[nodiscard]] std::vector<std::string> alive() const;
 
 private:
@@ -637,12 +640,13 @@
 	MembershipConfig config;
 	std::minstd_rand random;
 	std::map<std::string, Member> knownMembers;
-	std::map<std::string, Micros> notAliveSince; ///< Members that are not alive, with when they came into that state.
-	std::map<std::string, PendingUpdate> pendingUpdates; ///< News still to be told, with how often each was told.
+	std::map<std::string, Micros> notAliveSince; ///< For members that are not alive: when they entered that state.
+	std::map<std::string, PendingUpdate> pendingUpdates; ///< Members whose state is still to be disseminated.
 	std::vector<std::string> seeds;
-	std::vector<std::string> probeOrder; ///< Nodes still to be probed in this round.
+	std::vector<std::string> probeOrder; ///< Nodes still to be probed in this round, last one first.
 	std::optional<Probe> probe;
-	std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> relayedPings; ///< Probes made for others.
+	/// Pings sent for other nodes: the requester and its sequence number, by own sequence number.
+	std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> relayedPings;
 	std::uint64_t lastSequence = 0;
 	Micros nextProbeAt = 0;
 	Micros nextSeedAt = 0;
@@ -653,16 +657,16 @@
 // Shares: a workspace's limit split over nodes.
 // ---------------------------------------------------------------------------------------------------------------
 
-/// What one node wants of the workspaces that a meter looks after. A workspace that is not listed is wanted by nobody
-/// there.
+/// Demand of one node for the workspaces of one coordinator. A workspace that is not listed has no demand on that node.
 struct DemandReport
 {
-	bool fallback = false; ///< The sender has not heard of the meter for long, and uses its even split.
-	std::map<std::string, std::int64_t> demand; ///< Requests in flight and refused of late, by workspace.
+	bool fallback = false; ///< The coordinator does not answer the sender, which falls back to its even split.
+	/// Requests in flight plus those recently refused for the workspace's limit, by workspace.
+	std::map<std::string, std::int64_t> demand;
 	bool operator==(const DemandReport&) const = default;
 };
 
-/// Shares that a meter grants to one node.
+/// Shares that a coordinator grants to one node, by workspace.
 struct ShareGrant
 {
 	std::map<std::string, std::int64_t> shares;
@@ -685,35 +689,35 @@
 
 using ShareAction = std::variant<SendDemand, SendGrant>;
 
-/// Times of ShareAllocator.
+/// Timing and sizes of ShareAllocator.
 struct ShareConfig
 {
 	Micros reportPeriod = 500 * kMillisecond; ///< Between two reports, for up to 50 nodes; grows with their number.
-	Micros leaseDuration = 3 * kSecond;       ///< How long a grant holds, as a least; six periods when that is more.
-	std::size_t nodesPerCoordinator = 20;     ///< Each workspace has one meter; there is one for so many nodes.
+	Micros leaseDuration = 3 * kSecond;       ///< Validity of a grant; at least six report periods.
+	std::size_t nodesPerCoordinator = 20;     ///< Each workspace has one coordinator.
 	bool operator==(const ShareConfig&) const = default;
 };
 
 /// Splits each workspace's limit over the nodes by demand.
 ///
-/// Each node may always use a floor, a quarter of an even split. The rest of the limit is given out by one node for
-/// each workspace, the meter, under leases. A node that its meter does not answer stops reporting, waits until the
-/// meter has forgotten its reports, and falls back to the even split, which the meter sets aside for each listed node
-/// that does not report. So the sum over all nodes is at most the limit, or one for each node where that is more, also
-/// while nodes cannot talk. It may be exceeded for one lease after the list of nodes has changed.
+/// Each node may always use a floor of a quarter of an even split. One node per workspace, the coordinator, grants the
+/// rest of the limit under leases. A node whose coordinator does not answer stops reporting demand, waits until the
+/// coordinator has discarded its reports, and falls back to the even split, which the coordinator reserves for each
+/// listed node that does not report. The sum over all nodes is therefore at most the limit, or one per node where that
+/// is more, also during a network partition. It may exceed the limit for one lease after the list of nodes has changed.
 class ShareAllocator
 {
 public:
 	ShareAllocator(std::string _self, ShareConfig _config);
 
-	/// @param[in] _listed All nodes of the VM list, alive or not, this one among them.
-	/// @param[in] _alive Those that count as alive.
+	/// @param[in] _listed All nodes of the VM list, alive or not, including this one.
+	/// @param[in] _alive Nodes that count as alive.
 	void setNodes(const std::vector<std::string>& _listed, const std::vector<std::string>& _alive, Micros _now);
 
 	/// @param[in] _limits Limit of each workspace that has one.
 	void setLimits(const std::map<std::string, std::int64_t>& _limits);
 
-	/// Tells what this node wants.
+	/// Sets this node's demand, by workspace: requests in flight plus those refused for the limit.
 	void setDemand(const std::map<std::string, std::int64_t>& _demand);
 
 	std::vector<ShareAction> tick(Micros _now);
@@ -723,7 +727,7 @@
 	/// @returns This node's share of each limited workspace.
 	[[nodiscard]] std::map<std::string, std::int64_t> shares(Micros _now) const;
 
-	/// @returns The node that looks after a workspace.
+	/// @returns The coordinator of a workspace.
 	[[nodiscard]] std::string coordinatorOf(const std::string& _workspace) const;
 
 private:
@@ -739,11 +743,11 @@
 		Micros expiresAt = 0;
 	};
 
-	/// How this node stands with one meter.
+	/// Contact with one coordinator.
 	struct CoordinatorLink
 	{
 		Micros lastHeardAt = 0;
-		std::optional<Micros> silentSince; ///< Since when no true report has been sent.
+		std::optional<Micros> silentSince; ///< Since when reports have carried the fallback flag, if they do.
 	};
 
 	void updateCoordinatorLinks(Micros _now);
@@ -767,15 +771,15 @@
 	std::map<std::string, std::string> coordinatorByWorkspace;
 	std::map<std::string, std::int64_t> limits;
 	std::map<std::string, std::int64_t> demand;
-	std::map<std::string, ShareLease> ownLeases;   ///< Own grants by workspace.
-	std::map<std::string, ReceivedReport> reports; ///< By node, as a meter.
-	std::set<std::string> reporters;               ///< Nodes that have sent something since the last grants.
-	std::map<std::string, std::map<std::string, std::vector<ShareLease>>>
-		grantedLeases;                                       ///< By workspace and node, as a meter.
-	std::map<std::string, CoordinatorLink> coordinatorLinks; ///< By meter.
+	std::map<std::string, ShareLease> ownLeases;   ///< Leases granted to this node, by workspace.
+	std::map<std::string, ReceivedReport> reports; ///< As coordinator: newest report of each node.
+	std::set<std::string> reporters;               ///< As coordinator: nodes that have reported since the last grants.
+	/// As coordinator: leases by workspace and node.
+	std::map<std::string, std::map<std::string, std::vector<ShareLease>>> grantedLeases;
+	std::map<std::string, CoordinatorLink> coordinatorLinks; ///< By coordinator.
 	Micros nextReportAt = 0;
-	bool nodesSet = false;         ///< Whether the nodes were set at least once.
-	Micros grantsBlockedUntil = 0; ///< As a meter: grants of an earlier meter may still hold until then.
+	bool nodesSet = false;         ///< Whether the nodes have been set at least once.
+	Micros grantsBlockedUntil = 0; ///< As coordinator: grants of a previous coordinator may be valid until then.
 };
 
 // ---------------------------------------------------------------------------------------------------------------
