--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the view of the other nodes.
+/// Implementation of the view of the cluster's nodes.
 
 #include "cluster_view.h"
 
--- a/src/cluster_view.h
+++ b/src/cluster_view.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Membership and shares of one node, driven from the control thread.
+/// Membership and workspace shares of one node, driven from the control thread.
 
 #ifndef ROADFERRY_CLUSTER_VIEW_H_HEADER_GUARD
 #define ROADFERRY_CLUSTER_VIEW_H_HEADER_GUARD
@@ -17,7 +17,7 @@
 namespace roadferry
 {
 
-/// Runs Membership and ShareAllocator on the clock, and carries their messages.
+/// Drives Membership and ShareAllocator by a timer, and sends their messages.
 class ClusterView
 {
 public:
@@ -26,22 +26,22 @@
 
 	void start();
 
-	/// Takes the nodes of the VM list, this one among them.
+	/// Sets the nodes of the VM list, including this one.
 	void setListedNodes(const std::vector<std::string>& _nodes);
 
-	/// Takes the table in force.
+	/// Applies the offset and the workspace limits of the table in force.
 	void setTable(const Table& _table);
 
 	void onGossip(const std::string& _peer, const Gossip& _message);
 	void onDemand(const std::string& _peer, const DemandReport& _report);
 	void onGrant(const std::string& _peer, const ShareGrant& _grant);
 
-	/// Tells other nodes that this one leaves.
+	/// Announces to other nodes that this one leaves.
 	void leave();
 
 	[[nodiscard]] const Membership& members() const;
 
-	/// @returns The lowest table offset in force on any live node.
+	/// @returns The lowest table offset in force on any node that counts as alive.
 	[[nodiscard]] std::uint64_t lowestTableOffset() const;
 
 	/// @returns This node's share of each limited workspace.
@@ -58,7 +58,7 @@
 	Membership membership;
 	ShareAllocator shareAllocator;
 	std::vector<std::string> listedNodes;
-	std::set<std::string> limitedWorkspaces; ///< Workspaces whose share was set at the dispatcher.
+	std::set<std::string> limitedWorkspaces; ///< Workspaces whose share is set in the dispatcher.
 	QTimer timer;
 };
 
--- a/src/membership.cpp
+++ b/src/membership.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Membership by probes and gossip: each period one node is probed, first directly, then through helpers; news of
-/// members ride on the probes.
+/// Membership by probes and gossip: in each period one node is probed, first directly, then indirectly through other
+/// nodes. Updates of members are piggybacked on the messages of the probes.
 
 #include <roadferry/roadferry.h>
 
@@ -19,12 +19,15 @@
 {
 
 constexpr std::array<std::string_view, 4> kStateNames = {"alive", "suspect", "dead", "left"};
-constexpr std::size_t kRetransmitFactor = 3;  ///< Each news is told so many times the logarithm of the nodes.
-constexpr std::size_t kSuspicionBaseLog2 = 3; ///< The suspicion time holds for up to two to this many nodes.
+constexpr std::size_t kRetransmitFactor = 3; ///< An update is sent this many times the log2 of the number of members.
+/// The suspicion timeout grows beyond two to the power of this many nodes.
+constexpr std::size_t kSuspicionBaseLog2 = 3;
 constexpr std::size_t kLeaveRecipients = 5;
-constexpr std::size_t kBacklogDivisor = 8; ///< Of a heap of news, each message carries this part.
+/// A message carries the number of pending updates divided by this, within the configured bounds.
+constexpr std::size_t kBacklogDivisor = 8;
 
-/// @returns Whether news of one member overrides what is held. Of the same version, the worse state holds.
+/// @returns Whether an update of a member replaces the current record. At equal versions the worse state wins, then the
+/// higher table offset.
 bool overrides(const Member& _update, const Member& _current)
 {
 	if (_update.version != _current.version)
@@ -75,7 +78,7 @@
 	return result;
 }
 
-/// Troubles go before arrivals, and of each what was told least.
+/// Sort key of a pending update, lowest first: members that are not alive, then those sent least often.
 std::pair<bool, std::size_t> Membership::priorityOf(const std::string& _address, const PendingUpdate& _pending) const
 {
 	return {this->knownMembers.at(_address).state == MemberState::Alive, _pending.sendCount};
@@ -140,7 +143,8 @@
 	this->knownMembers[_update.address] = _update;
 	if ((stateChanged || versionChanged) && _spread)
 	{
-		// An offset alone is not passed on: each edit would bring news of every node, and hold up what matters.
+		// A new table offset alone is not disseminated: each edit would queue an update of every node and delay changes
+		// of state.
 		this->pendingUpdates[_update.address] = PendingUpdate{};
 	}
 	if (_update.state == MemberState::Alive)
@@ -161,7 +165,8 @@
 		const bool falseSuspicion = _update.state != MemberState::Alive && own.state == MemberState::Alive;
 		if (_update.version > own.version || (_update.version == own.version && falseSuspicion))
 		{
-			// Somebody believes that this node is gone, or remembers an earlier process with a clock ahead of ours.
+			// Another node believes that this one is gone, or remembers an earlier process with a clock ahead of ours.
+			// A higher version refutes both.
 			own.version = _update.version + 1;
 			this->pendingUpdates[this->self] = PendingUpdate{};
 		}
@@ -181,13 +186,13 @@
 std::vector<SendGossip> Membership::receive(const std::string& _from, const Gossip& _message, Micros _now)
 {
 	std::vector<SendGossip> out;
-	// A list of all members is no news to the others.
+	// A full list of members is not disseminated: the other nodes know it.
 	const bool spread = _message.updates.size() <= this->config.maxUpdatesPerMessage + 2;
 	for (const Member& update : _message.updates)
 	{
-		// A node that is held for dead and speaks is told so, and objects with a new version.
 		this->applyUpdate(update, _now, spread);
 	}
+	// A sender that does not count as alive is sent its own record, and refutes it with a higher version.
 	const auto sender = this->knownMembers.find(_from);
 	if (sender != this->knownMembers.end() && sender->second.state != MemberState::Alive)
 	{
@@ -350,11 +355,11 @@
 	const auto found = this->knownMembers.find(target);
 	if (found != this->knownMembers.end())
 	{
-		// So that it hears for what it is held, and can object.
+		// The seed receives its own record and can refute it.
 		ping.message.updates.push_back(found->second);
 	}
 	_out.push_back(std::move(ping));
-	// Until the first node has answered there is nobody else to talk to, so that no time is lost.
+	// Until the first node has answered, seeds are contacted more often, so that this node joins without delay.
 	const bool alone = this->alive().size() == 1;
 	this->nextSeedAt = _now + (alone ? this->config.ackTimeout : this->config.seedPeriod);
 }
@@ -375,7 +380,7 @@
 	{
 		this->nextProbeAt = _now + this->config.probePeriod;
 		this->startNextProbe(_now, out);
-		// Probes made for others are answered within a period or not at all.
+		// Pings sent for other nodes are answered within a period or not at all.
 		std::erase_if(this->relayedPings,
 					  [this](const auto& _entry) { return _entry.first + 64 < this->lastSequence; });
 		return out;
--- a/src/share_allocator.cpp
+++ b/src/share_allocator.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Splits the limits of workspaces over the nodes.
+/// Implementation of the allocation of workspace limits to nodes.
 
 #include <roadferry/roadferry.h>
 
@@ -20,14 +20,14 @@
 
 constexpr Micros kReportPeriodPerNode = 10 * kMillisecond;
 constexpr std::int64_t kMinPeriodsPerLease = 6;
-constexpr std::int64_t kFloorDivisor = 4; ///< The floor is this part of an even split.
+constexpr std::int64_t kFloorDivisor = 4; ///< The floor is an even split divided by this.
 
 std::uint64_t score(const std::string& _node, const std::string& _key)
 {
 	return XXH3_64bits_withSeed(_key.data(), _key.size(), XXH3_64bits(_node.data(), _node.size()));
 }
 
-/// @returns The node with the highest score, by rendezvous hashing.
+/// @returns The node with the highest score for the key (rendezvous hashing).
 std::string highestScoring(const std::vector<std::string>& _nodes, const std::string& _key)
 {
 	const auto best = std::max_element(_nodes.begin(), _nodes.end(),
@@ -68,7 +68,7 @@
 
 void ShareAllocator::assignCoordinators()
 {
-	// The nodes with the highest scores are meters, so that one node's coming or going moves few workspaces.
+	// The nodes with the highest scores are coordinators, so that a node that joins or leaves moves few workspaces.
 	std::vector<std::pair<std::uint64_t, std::string>> ranked;
 	for (const std::string& node : this->aliveNodes)
 	{
@@ -101,7 +101,8 @@
 	{
 		return;
 	}
-	// Grants of an earlier process at this address may still hold, too.
+	// On the first call every workspace counts as gained: grants of an earlier process at this address may still be
+	// valid.
 	const auto previous = this->nodesSet ? this->coordinatorByWorkspace : std::map<std::string, std::string>();
 	this->nodesSet = true;
 	this->listedNodes = std::move(all);
@@ -162,7 +163,7 @@
 		const auto found = this->coordinatorLinks.find(coordinator);
 		if (found == this->coordinatorLinks.end())
 		{
-			// An earlier process at this address may have reported just now.
+			// The link starts as silent, since an earlier process at this address may have reported just before.
 			this->coordinatorLinks[coordinator] = CoordinatorLink{_now, _now};
 			continue;
 		}
@@ -221,7 +222,7 @@
 	std::map<std::string, ShareGrant> grants;
 	for (const std::string& reporter : this->reporters)
 	{
-		// Also where there is nothing to give: it tells the asker that it is heard.
+		// An empty grant is sent, too: it tells the node that its reports arrive.
 		grants[reporter] = ShareGrant{};
 	}
 	this->reporters.clear();
@@ -267,7 +268,7 @@
 	{
 		return;
 	}
-	// The floor of each node that reports and the even split of each that does not are spoken for.
+	// Reserved are the floor of each node that reports and the even split of each listed node that does not.
 	std::int64_t unreserved = _limit;
 	std::map<std::string, std::int64_t> excessDemand;
 	std::int64_t totalExcess = 0;
@@ -299,7 +300,7 @@
 	std::erase_if(leasesByNode, [](const auto& _entry) { return _entry.second.empty(); });
 	for (const auto& entry : excessDemand)
 	{
-		// In proportion to demand. A share that shrinks counts in full until the lease that it was given under ends.
+		// Shares are proportional to demand. A share that shrinks counts in full until its lease expires.
 		std::vector<ShareLease>& leases = leasesByNode[entry.first];
 		const std::int64_t previousShare = highestShare(leases);
 		const std::int64_t proportional =
@@ -325,7 +326,7 @@
 	{
 		if (this->coordinatorOf(entry.first) == _from)
 		{
-			// Half a lease is left for the time on the way.
+			// The other half of the lease covers the time in transit.
 			this->ownLeases[entry.first] = ShareLease{entry.second, _now + this->leaseDuration() / 2};
 		}
 	}
--- a/src/stage_admission.cpp
+++ b/src/stage_admission.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Decides which requests are let in to the pools that make their pieces.
+/// Implementation of the admission of requests to pools.
 
 #include <roadferry/parts/admission.h>
 
@@ -59,7 +59,7 @@
 	const auto found = this->pools.find(_pool);
 	if (found == this->pools.end() || this->rateOf(found->second) <= 0)
 	{
-		return 0; // Of a pool that nothing is known of nothing can be foreseen.
+		return 0; // The rate is unknown, for instance because the pool has no endpoint.
 	}
 	return static_cast<Micros>(this->backlogOf(found->second, _now) / this->rateOf(found->second));
 }
--- a/src/ticket.cpp
+++ b/src/ticket.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Tickets: the text form, and the book of one incarnation.
+/// Implementation of tickets: their text form, the registry of one incarnation, and shutdown reports of others.
 
 #include <roadferry/roadferry.h>
 
@@ -219,7 +219,7 @@
 			entry.second.outcome = makeOutcome(Reason::TicketSealed, true);
 			entry.second.issuedOrEndedAt = _now;
 		}
-		// A request that is running has no outcome that others could give: it stays unknown.
+		// A request that is still running has no final outcome: it is reported as unknown.
 		const bool running = entry.second.state == TicketState::Running;
 		report.outcomes[entry.first] = running ? makeOutcome(Reason::CutWhileRunning, false) : entry.second.outcome;
 	}
