--- a/tests/membership_world.h
+++ b/tests/membership_world.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Nodes that gossip over a virtual network.
+/// Simulated nodes that gossip over a virtual network.
 
 #ifndef ROADFERRY_MEMBERSHIP_WORLD_H_HEADER_GUARD
 #define ROADFERRY_MEMBERSHIP_WORLD_H_HEADER_GUARD
@@ -17,7 +17,7 @@
 namespace roadferry
 {
 
-/// All nodes of one deployment, by number.
+/// All nodes of one deployment, by index.
 class MembershipWorld
 {
 public:
@@ -34,7 +34,7 @@
 		}
 	}
 
-	/// Addresses sort as their numbers do.
+	/// @returns Address of a node; addresses sort like their indices.
 	static std::string address(std::size_t _index)
 	{
 		char text[32];
@@ -42,7 +42,7 @@
 		return text;
 	}
 
-	/// A new process; one that was there before is gone.
+	/// Starts a new process; a previous one at the same address is destroyed.
 	void start(std::size_t _index)
 	{
 		const std::uint64_t version = static_cast<std::uint64_t>(this->now) + 1;
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/// @returns Time until a condition holds, or nothing when it does not within the limit.
+	/// @returns Time until the condition holds, or nothing when it does not hold within the limit.
 	std::optional<Micros> runUntil(const std::function<bool()>& _condition, Micros _limit)
 	{
 		const Micros begin = this->now;
@@ -95,7 +95,7 @@
 		return this->now - begin;
 	}
 
-	/// @returns Whether every node that runs counts exactly these nodes as alive.
+	/// @returns Whether each of these nodes counts exactly these nodes as alive.
 	[[nodiscard]] bool agree(const std::set<std::size_t>& _alive) const
 	{
 		std::vector<std::string> expected;
@@ -129,7 +129,7 @@
 	VirtualNetwork<Gossip> network;
 	std::vector<std::string> seeds;
 	Micros now = kSecond;
-	std::uint64_t messagesSent = 0; ///< Sent by all nodes.
+	std::uint64_t messagesSent = 0; ///< By all nodes.
 	std::uint64_t updatesSent = 0;
 
 private:
--- a/tests/share_world.h
+++ b/tests/share_world.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Nodes that share limits over a virtual network.
+/// Simulated nodes that share limits over a virtual network.
 
 #ifndef ROADFERRY_SHARE_WORLD_H_HEADER_GUARD
 #define ROADFERRY_SHARE_WORLD_H_HEADER_GUARD
@@ -14,7 +14,8 @@
 namespace roadferry
 {
 
-/// All nodes of one deployment. Their views are set by hand, so that each fault of membership can be had.
+/// All nodes of one deployment. Their membership views are set explicitly, so that any fault of membership can be
+/// simulated.
 class ShareWorld
 {
 public:
@@ -85,7 +86,7 @@
 		}
 	}
 
-	/// @returns Sum of the shares of all nodes that run, frozen ones included.
+	/// @returns Sum of the shares of all running nodes, including frozen ones.
 	[[nodiscard]] std::int64_t sum(const std::string& _workspace) const
 	{
 		std::int64_t total = 0;
@@ -96,7 +97,7 @@
 		return total;
 	}
 
-	/// @returns Sum over nodes of what each can use of its share.
+	/// @returns Sum over all running nodes of the part of the share that the node's demand uses.
 	[[nodiscard]] std::int64_t used(const std::string& _workspace)
 	{
 		std::int64_t total = 0;
@@ -119,7 +120,7 @@
 	std::map<std::string, std::int64_t> limits;
 	Micros now = kSecond;
 	std::uint64_t messagesSent = 0;
-	std::function<void(const ShareAction&)> onSend; ///< Sees each message that is sent.
+	std::function<void(const ShareAction&)> onSend; ///< Called with each message that is sent.
 
 private:
 	void receive(std::size_t _from, std::size_t _to, const ShareAction& _message)
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Which requests are let in to the pools of their stages, and how they are refused over nodes.
+/// Admission of requests to the pools of their stages, and refusal across nodes.
 
 #include "property.h"
 #include "stage_times.h"
@@ -36,7 +36,7 @@
 		_pool + "-" + std::to_string(_index), "10.0.0." + std::to_string(_index) + ":80", _pool, "north", 1, _leaving};
 }
 
-/// An admission before two pools of two endpoints each; at its whole rate a pool makes 20 pieces in 340 ms.
+/// Admission for two pools of two endpoints each; at its full rate a pool processes 20 pieces in 340 ms.
 StageAdmission admissionOfTwoPools()
 {
 	StageAdmission admission(AdmissionConfig{1.0});
@@ -77,14 +77,14 @@
 
 Test(admission, burst_is_refused_by_the_predicted_backlog_of_later_stages)
 {
-	// No piece has reached the second pool yet; its backlog alone must turn the burst's later requests away.
+	// No piece has reached the second pool yet: its predicted backlog alone must refuse the burst's later requests.
 	StageAdmission admission = admissionOfTwoPools();
 	int admitted = 0;
 	while (admitted < 1'000 && admission.admit(terms(500 * kMillisecond), {}, kSecond).admitted)
 	{
 		admitted += 1;
 	}
-	// 500 ms of the second pool are 29 pieces, and of the first 29 as well: 5 pieces and one count 102 ms together.
+	// Each pool processes 29 pieces in 500 ms. The 5 pieces and 1 piece of a request add 102 ms to the total wait.
 	cr_assert_eq(admitted, 5);
 	cr_assert(admission.admit(terms(500 * kMillisecond), {}, kSecond + 400 * kMillisecond).admitted);
 }
@@ -107,7 +107,7 @@
 		admission.admit(terms(300 * kMillisecond), {{"second", 400 * kMillisecond}}, kSecond);
 	cr_assert_not(verdict.admitted);
 	cr_assert_eq(verdict.waits.at("second"), 400 * kMillisecond);
-	cr_assert_eq(admission.backlogTime("second", kSecond), 0); // What is refused is not counted.
+	cr_assert_eq(admission.backlogTime("second", kSecond), 0); // A refused request is not counted.
 }
 
 Test(admission, pool_without_endpoints_admits_every_request)
@@ -135,7 +135,7 @@
 						   now += *rc::gen::inRange<Micros>(0, 100 * kMillisecond);
 						   pieces += admission.admit(terms(500 * kMillisecond), {}, now).admitted ? 5 : 0;
 					   }
-					   // 20 pieces each 340 ms, 500 ms ahead, and the one request that reaches beyond.
+					   // 20 pieces per 340 ms, 500 ms ahead, plus the one request that goes beyond.
 					   const double maxPieces =
 						   static_cast<double>(now - kSecond + 500 * kMillisecond) * 20 / 340'000 + 5;
 					   RC_ASSERT(static_cast<double>(pieces) <= maxPieces);
@@ -160,14 +160,14 @@
 	const auto ask = std::get<SendPieceMessage>(asked.front());
 	cr_assert(ask.to == deciding);
 	const PieceActions decided = nodes.at(deciding).receive(other, ask.message, kSecond);
-	cr_assert_eq(decided.size(), 2); // The reason, for the log, and the refusal.
+	cr_assert_eq(decided.size(), 2); // The reason for the log, and the refusal.
 	cr_assert(std::get<RequestCrowded>(decided.front()).request == "r-7");
 	const auto refusal = std::get<SendPieceMessage>(decided.back());
 	cr_assert(faultsOf(nodes.at(other).receive(deciding, refusal.message, kSecond)) ==
 			  std::vector<PieceFault>{PieceFault::Crowded});
 	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
 			  std::vector<PieceFault>{PieceFault::Crowded});
-	// Later pieces of a request that was let in come without terms, and are made.
+	// Later pieces of an admitted request come without terms and are processed.
 	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
 }
 
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Membership under joins, kills, freezes, one-way cuts and splits, in virtual time.
+/// Membership under joins, kills, freezes, one-way cuts and partitions, in virtual time.
 
 #include "membership_world.h"
 #include "property.h"
--- a/tests/test_shares.cpp
+++ b/tests/test_shares.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Limits split over nodes: the sum stays within the limit, and demand gets what there is.
+/// Limits split over nodes: the sum stays within the limit, and demand receives the unused part.
 
 #include "property.h"
 #include "share_world.h"
@@ -25,7 +25,7 @@
 	world.demand[2]["hall"] = 600;
 	world.run(20 * kSecond);
 	cr_assert_leq(world.sum("hall"), kLimit);
-	// All but the floors of the six idle nodes, a quarter of an even split each.
+	// The whole limit except the floors of the six idle nodes, which are a quarter of an even split each.
 	cr_assert_geq(world.used("hall"), kLimit - 6 * 25 - 6);
 }
 
--- a/tests/test_tickets.cpp
+++ b/tests/test_tickets.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// At most once: histories of copies, kills, freezes and restarts over several nodes, against a count of runs.
+/// At-most-once execution: random histories of copies, freezes and restarts over several nodes, checked against a
+/// count of runs.
 
 #include "property.h"
 
@@ -18,15 +19,15 @@
 constexpr std::size_t kNodes = 3;
 constexpr std::uint64_t kRequests = 4;
 
-/// A node that may be frozen: frozen, it acts on nothing; woken, it acts as if no time had passed.
+/// A node that may be frozen. A frozen node processes nothing; when it resumes, it processes the copies that arrived.
 struct ModelNode
 {
 	std::unique_ptr<TicketRegistry> registry;
 	bool frozen = false;
-	std::vector<std::pair<Ticket, std::uint64_t>> inbox; ///< Copies that arrived while it was frozen.
+	std::vector<std::pair<Ticket, std::uint64_t>> inbox; ///< Copies of requests that arrived while it was frozen.
 };
 
-/// The oracle: what was run, and what callers were told.
+/// Records what was run and what was reported to callers.
 struct Oracle
 {
 	std::map<Ticket, int> runs;
@@ -45,7 +46,7 @@
 		}
 	}
 
-	/// A new process at the same address.
+	/// Starts a new process at the same address.
 	void restart(std::size_t _node)
 	{
 		TicketLimits limits;
@@ -69,7 +70,7 @@
 		this->tickets.push_back(*ticket);
 	}
 
-	/// A copy of a request arrives at a node, which passes it on to the address of the issuer.
+	/// Presents a copy of a request at a node, which forwards it to the address of the issuer.
 	void present(std::size_t _node, const Ticket& _ticket, std::uint64_t _digest)
 	{
 		if (this->nodes[_node].frozen)
--- a/tests/virtual_network.h
+++ b/tests/virtual_network.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// A network of nodes in virtual time, for tests and measurements of the pure code: messages take a while, links can be
-/// cut one way, nodes can be frozen.
+/// A network of nodes in virtual time, for tests and benchmarks of the state machines. Messages arrive one step after
+/// they are sent, and links can be cut in one direction.
 
 #ifndef ROADFERRY_VIRTUAL_NETWORK_H_HEADER_GUARD
 #define ROADFERRY_VIRTUAL_NETWORK_H_HEADER_GUARD
@@ -24,7 +24,7 @@
 class VirtualNetwork
 {
 public:
-	/// Takes a message on its way, unless the link is cut.
+	/// Queues a message for the next delivery, unless the link is cut.
 	void send(std::size_t _from, std::size_t _to, Message _message)
 	{
 		if (this->cutLinks.count({_from, _to}) == 0)
@@ -33,7 +33,7 @@
 		}
 	}
 
-	/// Hands over all messages that are on the way.
+	/// Delivers all queued messages.
 	void deliver(const std::function<void(std::size_t, std::size_t, const Message&)>& _receive)
 	{
 		const std::vector<Delivery> now = std::move(this->undelivered);
@@ -44,7 +44,7 @@
 		}
 	}
 
-	std::set<std::pair<std::size_t, std::size_t>> cutLinks; ///< From and to.
+	std::set<std::pair<std::size_t, std::size_t>> cutLinks; ///< Pairs of sender and receiver.
 
 private:
 	struct Delivery
