--- a/include/roadferry/parts/admission.h
+++ b/include/roadferry/parts/admission.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Part of the public header: admission of requests to the pools that process their pieces.
+/// Part of the public header: admission of requests to the pools that compute their pieces.
 
 #ifndef ROADFERRY_PARTS_ADMISSION_H_HEADER_GUARD
 #define ROADFERRY_PARTS_ADMISSION_H_HEADER_GUARD
@@ -48,16 +48,16 @@
 /// Settings of a StageAdmission.
 struct AdmissionConfig
 {
-	/// Fraction of its nominal rate that a pool reaches: calls are not always full, and results wait for free capacity.
+	/// Fraction of its nominal rate that a pool reaches: calls are not always full, and results wait for space.
 	/// From replays of busy days of both users (docs/design/platform.md).
 	double efficiency = 0.75;
 	bool operator==(const AdmissionConfig&) const = default;
 };
 
-/// Admits requests as long as the pools of all their stages can process their pieces in time. Each pool has a backlog:
-/// admitted pieces that, at the pool's rate, cannot have been processed yet. The load of a burst on later stages is
-/// thus predicted when its requests arrive, not when their pieces do. Runs on the node that forms the batches of a
-/// request's first stage.
+/// Admits requests as long as the pools of all their stages can compute their pieces in time. Each pool has a backlog:
+/// admitted pieces that, at the pool's rate, cannot have been computed yet. The load of a burst on later stages is
+/// thus predicted when its requests arrive, not when their pieces do. Runs on the batching node of a request's
+/// first stage.
 class StageAdmission
 {
 public:
@@ -83,7 +83,7 @@
 		Micros backlogAt = 0;
 	};
 
-	/// @returns Pieces that the pool processes per microsecond.
+	/// @returns Pieces that the pool computes per microsecond.
 	[[nodiscard]] double rateOf(const Pool& _pool) const;
 	[[nodiscard]] double backlogOf(const Pool& _pool, Micros _now) const;
 
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -36,7 +36,7 @@
 		_pool + "-" + std::to_string(_index), "10.0.0." + std::to_string(_index) + ":80", _pool, "north", 1, _leaving};
 }
 
-/// Admission for two pools of two endpoints each; at its full rate a pool processes 20 pieces in 340 ms.
+/// Admission for two pools of two endpoints each; at its full rate a pool computes 20 pieces in 340 ms.
 StageAdmission admissionOfTwoPools()
 {
 	StageAdmission admission(AdmissionConfig{1.0});
@@ -84,7 +84,7 @@
 	{
 		admitted += 1;
 	}
-	// Each pool processes 29 pieces in 500 ms. The 5 pieces and 1 piece of a request add 102 ms to the total wait.
+	// Each pool computes 29 pieces in 500 ms. The 5 pieces and 1 piece of a request add 102 ms to the total wait.
 	cr_assert_eq(admitted, 5);
 	cr_assert(admission.admit(terms(500 * kMillisecond), {}, kSecond + 400 * kMillisecond).admitted);
 }
@@ -142,7 +142,7 @@
 				   });
 }
 
-Test(admission, batch_node_of_the_first_pool_refuses_for_all_nodes)
+Test(admission, batching_node_of_the_first_pool_refuses_for_all_nodes)
 {
 	const std::vector<std::string> members = {"10.0.1.1:1", "10.0.1.2:1"};
 	const std::string deciding = batchNodeOf("first", members);
@@ -167,23 +167,23 @@
 			  std::vector<PieceFault>{PieceFault::Crowded});
 	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
 			  std::vector<PieceFault>{PieceFault::Crowded});
-	// Later pieces of an admitted request come without terms and are processed.
+	// Later pieces of an admitted request come without terms and are computed.
 	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
 }
 
 Test(admission, results_of_a_node_that_has_left_are_freed_by_their_holder)
 {
 	const std::vector<std::string> members = {"10.0.1.1:1", "10.0.1.2:1"};
-	const std::string batchNode = batchNodeOf("first", members);
-	const std::string holder = batchNode == members[0] ? members[1] : members[0];
+	const std::string batchingNode = batchNodeOf("first", members);
+	const std::string holder = batchingNode == members[0] ? members[1] : members[0];
 	PieceScheduler node(holder, PieceSchedulerConfig{});
 	node.setPools({pool("first")});
 	node.setMembers(members, 0);
 	node.order("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
-	node.receive(batchNode, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}},
+	node.receive(batchingNode, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}},
 				 kSecond);
 	const PieceActions forwarded = node.free({"h-1"}, kSecond);
-	cr_assert(std::get<SendPieceMessage>(forwarded.front()).to == batchNode);
+	cr_assert(std::get<SendPieceMessage>(forwarded.front()).to == batchingNode);
 	node.setMembers({holder}, kSecond);
 	const PieceActions freed = node.free({"h-2"}, kSecond);
 	cr_assert(std::get<FreeResult>(freed.front()) == FreeResult{"h-2"});
