--- a/src/share_allocator.cpp
+++ b/src/share_allocator.cpp
@@ -101,8 +101,8 @@
 	{
 		return;
 	}
-	// On the first call every workspace counts as gained: grants of an earlier process at this address may still be
-	// valid.
+	// On the first call all workspaces of this coordinator count as gained: grants of an earlier process at this
+	// address may still be valid.
 	const auto previous = this->nodesSet ? this->coordinatorByWorkspace : std::map<std::string, std::string>();
 	this->nodesSet = true;
 	this->listedNodes = std::move(all);
@@ -326,7 +326,7 @@
 	{
 		if (this->coordinatorOf(entry.first) == _from)
 		{
-			// The other half of the lease covers the time in transit.
+			// Only half of the lease is used: the other half covers the time in transit.
 			this->ownLeases[entry.first] = ShareLease{entry.second, _now + this->leaseDuration() / 2};
 		}
 	}
