--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -94,7 +94,7 @@
 
 using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord,
 								 ShutdownReport, Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedAsk,
-								 FeedNews, PieceAsk, PieceGive, PieceDrop, PieceFree>;
+								 FeedNews, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
 /// @returns The message as CBOR.
 std::string encode(const PeerMessage& _message);
--- a/src/placement_baselines.cpp
+++ b/src/placement_baselines.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Placement policies kept for comparison: taking turns, least in flight, the better of two drawn at random.
+/// Placement policies for comparison: round robin, fewest calls in flight from this node, power of two random choices.
 
 #include <roadferry/roadferry.h>
 
@@ -18,8 +18,8 @@
 
 Placement chooseRoundRobin(const PlacementInput& _input)
 {
-	const std::size_t index = _input.turn % _input.candidates.size();
-	_input.turn += 1;
+	const std::size_t index = _input.roundRobinCounter % _input.candidates.size();
+	_input.roundRobinCounter += 1;
 	return PlaceAt{_input.candidates[index]};
 }
 
@@ -27,7 +27,7 @@
 {
 	return PlaceAt{*std::min_element(_input.candidates.begin(), _input.candidates.end(),
 									 [](const EndpointState* _left, const EndpointState* _right)
-									 { return _left->own < _right->own; })};
+									 { return _left->ownInFlight < _right->ownInFlight; })};
 }
 
 Placement choosePowerOfTwo(const PlacementInput& _input)
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -53,7 +53,7 @@
 PieceOrder order(std::uint64_t _number, Micros _now)
 {
 	PieceOrder result;
-	result.order = _number;
+	result.orderId = _number;
 	result.request = "r-" + std::to_string(_number);
 	result.deadline = _now + 15 * kSecond;
 	result.due = _now + 2 * kSecond;
@@ -155,20 +155,20 @@
 		node.setEndpoints({endpoint("first", 1), endpoint("second", 2)});
 		node.setMembers(members, 0);
 	}
-	const PieceActions asked = nodes.at(other).order("first", {order(7, kSecond)}, terms(-1), kSecond);
+	const PieceActions asked = nodes.at(other).submit("first", {order(7, kSecond)}, terms(-1), kSecond);
 	cr_assert_eq(asked.size(), 1);
 	const auto ask = std::get<SendPieceMessage>(asked.front());
 	cr_assert(ask.to == deciding);
 	const PieceActions decided = nodes.at(deciding).receive(other, ask.message, kSecond);
 	cr_assert_eq(decided.size(), 2); // The reason for the log, and the refusal.
-	cr_assert(std::get<RequestCrowded>(decided.front()).request == "r-7");
+	cr_assert(std::get<RequestNotAdmitted>(decided.front()).request == "r-7");
 	const auto refusal = std::get<SendPieceMessage>(decided.back());
 	cr_assert(faultsOf(nodes.at(other).receive(deciding, refusal.message, kSecond)) ==
-			  std::vector<PieceFault>{PieceFault::Crowded});
-	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
-			  std::vector<PieceFault>{PieceFault::Crowded});
+			  std::vector<PieceFault>{PieceFault::NotAdmitted});
+	cr_assert(faultsOf(nodes.at(deciding).submit("first", {order(8, kSecond)}, terms(-1), kSecond)) ==
+			  std::vector<PieceFault>{PieceFault::NotAdmitted});
 	// Later pieces of an admitted request come without terms and are computed.
-	cr_assert(faultsOf(nodes.at(deciding).order("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
+	cr_assert(faultsOf(nodes.at(deciding).submit("first", {order(9, kSecond)}, std::nullopt, kSecond)).empty());
 }
 
 Test(admission, results_of_a_node_that_has_left_are_freed_by_their_holder)
@@ -179,8 +179,9 @@
 	PieceScheduler node(holder, PieceSchedulerConfig{});
 	node.setPools({pool("first")});
 	node.setMembers(members, 0);
-	node.order("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
-	node.receive(batchingNode, PieceGive{{}, {PieceMade{1, "h-1", "north"}, PieceMade{2, "h-2", "north"}}, {}, {}},
+	node.submit("first", {order(1, kSecond), order(2, kSecond)}, std::nullopt, kSecond);
+	node.receive(batchingNode,
+				 PieceUpdate{{}, {PieceCompleted{1, "h-1", "north"}, PieceCompleted{2, "h-2", "north"}}, {}, {}},
 				 kSecond);
 	const PieceActions forwarded = node.free({"h-1"}, kSecond);
 	cr_assert(std::get<SendPieceMessage>(forwarded.front()).to == batchingNode);
@@ -200,10 +201,10 @@
 	const std::vector<std::int64_t> allCounts = {2, 1, 4};
 	const std::vector<std::int64_t> someCounts = {2, 0, 0};
 	const StagedRoute allStages{plan, route, allCounts};
-	cr_assert_eq(allStages.timeOfAll(), 2 * stageTime);
+	cr_assert_eq(allStages.totalTime(), 2 * stageTime);
 	cr_assert_eq(allStages.timeAfter(1), stageTime);
 	cr_assert(allStages.demand() == (std::vector<PoolDemand>{{"first", 3}, {"second", 4}}));
 	const StagedRoute someStages{plan, route, someCounts};
-	cr_assert_eq(someStages.timeOfAll(), stageTime);
+	cr_assert_eq(someStages.totalTime(), stageTime);
 	cr_assert(someStages.demand() == (std::vector<PoolDemand>{{"first", 2}}));
 }
