--- a/src/batcher.cpp
+++ b/src/batcher.cpp
@@ -172,7 +172,7 @@
 
 bool Batcher::hasSpaceFor(const Pool& _pool, std::int64_t _used, const QueuedPiece& _piece)
 {
-	const std::int64_t capacity = _pool.limits.resultRoom;
+	const std::int64_t capacity = _pool.limits.resultCapacityBytes;
 	const std::int64_t bytes = _piece.order.resultBytes;
 	if (capacity <= 0 || _used == 0)
 	{
@@ -197,7 +197,7 @@
 /// free space of the endpoint.
 std::vector<std::size_t> Batcher::choosePieces(const Pool& _pool, const EndpointStatus& _status, Micros _now) const
 {
-	const auto maxPieces = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.batch));
+	const auto maxPieces = static_cast<std::size_t>(std::max<std::int64_t>(1, _pool.limits.maxPieces));
 	std::vector<std::size_t> chosen;
 	std::int64_t used = _status.usedBytes;
 	std::vector<bool> taken(_pool.queue.size(), false);
@@ -289,7 +289,7 @@
 	{
 		status->second.usedBytes += _order.resultBytes;
 	}
-	const Micros lifetime = this->pools[_call.pool].limits.resultLife;
+	const Micros lifetime = this->pools[_call.pool].limits.resultTtl;
 	this->storedResults[_handle] = StoredResult{_call.endpoint.id, _order.resultBytes, _now + lifetime};
 }
 
@@ -304,7 +304,7 @@
 	{
 		return;
 	}
-	const std::int64_t unknownBytes = pool->second.limits.resultRoom - status->second.usedBytes;
+	const std::int64_t unknownBytes = pool->second.limits.resultCapacityBytes - status->second.usedBytes;
 	if (unknownBytes > 0)
 	{
 		status->second.usedBytes += unknownBytes;
@@ -555,8 +555,8 @@
 	}
 	std::sort(freeTimes.begin(), freeTimes.end());
 	// Pieces per second: the measured rate, but at least the share of the nominal rate that small batches reach.
-	const Micros fullCallTime = limits.callTime + limits.pieceTime * limits.batch;
-	const double nominalRate = static_cast<double>(limits.batch) * static_cast<double>(freeTimes.size()) *
+	const Micros fullCallTime = limits.callTime + limits.pieceTime * limits.maxPieces;
+	const double nominalRate = static_cast<double>(limits.maxPieces) * static_cast<double>(freeTimes.size()) *
 							   static_cast<double>(kSecond) / static_cast<double>(fullCallTime);
 	const double rate = std::max(found->second.rate, kMinNominalShare * nominalRate);
 	const auto inTime = std::count_if(found->second.queue.begin(), found->second.queue.end(),
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -74,10 +74,10 @@
 	return QCborMap{{"type", "leaving"}, {"endpoints", textArray(_message.endpoints)}};
 }
 
-QCborMap toCbor(const Farewell& _message)
+QCborMap toCbor(const ShutdownReport& _message)
 {
 	QCborArray ended;
-	for (const auto& entry : _message.ended)
+	for (const auto& entry : _message.outcomes)
 	{
 		const Outcome& outcome = entry.second;
 		ended.append(QCborArray{static_cast<qint64>(entry.first), static_cast<qint64>(outcome.verdict),
@@ -86,14 +86,14 @@
 	return QCborMap{{"type", "farewell"},
 					{"node", text(_message.issuer.node)},
 					{"incarnation", static_cast<qint64>(_message.issuer.number)},
-					{"forgotten", static_cast<qint64>(_message.forgottenUpTo)},
+					{"forgotten", static_cast<qint64>(_message.expiredUpTo)},
 					{"ended", ended}};
 }
 
 QCborMap toCbor(const Gossip& _message)
 {
 	QCborArray news;
-	for (const Member& member : _message.news)
+	for (const Member& member : _message.updates)
 	{
 		news.append(QCborArray{text(member.address), static_cast<qint64>(member.version),
 							   static_cast<qint64>(member.state), static_cast<qint64>(member.tableOffset)});
@@ -173,25 +173,25 @@
 					{"leaving", textArray(_message.leaving)}};
 }
 
-QCborMap toCbor(const FeedAsk& _message)
+QCborMap toCbor(const FeedRequest& _message)
 {
 	return QCborMap{{"type", "feed_ask"},
 					{"version", static_cast<qint64>(_message.version)},
-					{"source", static_cast<qint64>(_message.source)},
+					{"source", static_cast<qint64>(_message.directoryId)},
 					{"revision", static_cast<qint64>(_message.revision)},
 					{"sent_at", static_cast<qint64>(_message.sentAt)}};
 }
 
-QCborMap toCbor(const FeedNews& _message)
+QCborMap toCbor(const FeedResponse& _message)
 {
 	QCborMap map{{"type", "feed_news"},
 				 {"record", QByteArray::fromStdString(_message.record)},
-				 {"source", static_cast<qint64>(_message.source)},
+				 {"source", static_cast<qint64>(_message.directoryId)},
 				 {"version", static_cast<qint64>(_message.version)},
-				 {"answers", static_cast<qint64>(_message.answers)},
+				 {"answers", static_cast<qint64>(_message.requestSentAt)},
 				 {"revision", static_cast<qint64>(_message.endpoints.revision)},
 				 {"position", static_cast<qint64>(_message.endpoints.position)},
-				 {"whole", _message.endpoints.whole},
+				 {"whole", _message.endpoints.isSnapshot},
 				 {"listed", toCbor(_message.endpoints.listed)},
 				 {"unlisted", textArray(_message.endpoints.unlisted)}};
 	if (_message.age)
@@ -201,16 +201,16 @@
 	return map;
 }
 
-FeedNews readFeedNews(CborReader& _reader)
+FeedResponse readFeedNews(CborReader& _reader)
 {
-	FeedNews message;
+	FeedResponse message;
 	message.record = _reader.bytes("record");
-	message.source = _reader.natural("source");
+	message.directoryId = _reader.natural("source");
 	message.version = _reader.natural("version");
-	message.answers = _reader.integer("answers");
+	message.requestSentAt = _reader.integer("answers");
 	message.endpoints.revision = _reader.natural("revision");
 	message.endpoints.position = _reader.natural("position");
-	message.endpoints.whole = _reader.boolean("whole");
+	message.endpoints.isSnapshot = _reader.boolean("whole");
 	message.endpoints.listed = readEndpoints(_reader, "listed");
 	message.endpoints.unlisted = _reader.texts("unlisted");
 	if (!_reader.value("age").isUndefined())
@@ -229,18 +229,18 @@
 	return message;
 }
 
-Farewell readFarewell(CborReader& _reader)
+ShutdownReport readFarewell(CborReader& _reader)
 {
-	Farewell message;
+	ShutdownReport message;
 	message.issuer = Incarnation{_reader.text("node"), _reader.natural("incarnation")};
-	message.forgottenUpTo = _reader.natural("forgotten");
+	message.expiredUpTo = _reader.natural("forgotten");
 	for (const QCborArray& entry : _reader.arrays("ended", 4))
 	{
 		Outcome outcome;
 		outcome.verdict = static_cast<Verdict>(_reader.below(entry.at(1), kVerdicts, "ended"));
 		outcome.reason = static_cast<Reason>(_reader.below(entry.at(2), kReasons, "ended"));
 		outcome.repeatSafe = entry.at(3).toBool();
-		message.ended.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
+		message.outcomes.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
 	}
 	return message;
 }
@@ -258,7 +258,7 @@
 		member.version = static_cast<std::uint64_t>(entry.at(1).toInteger());
 		member.state = static_cast<MemberState>(_reader.below(entry.at(2), kMemberStates, "news"));
 		member.tableOffset = static_cast<std::uint64_t>(entry.at(3).toInteger());
-		message.news.push_back(member);
+		message.updates.push_back(member);
 	}
 	return message;
 }
@@ -324,8 +324,8 @@
 	}
 	if (_type == "feed_ask")
 	{
-		return FeedAsk{_reader.natural("version"), _reader.natural("source"), _reader.natural("revision"),
-					   _reader.integer("sent_at")};
+		return FeedRequest{_reader.natural("version"), _reader.natural("source"), _reader.natural("revision"),
+						   _reader.integer("sent_at")};
 	}
 	if (_type == "feed_news")
 	{
--- a/src/piece_scheduler.cpp
+++ b/src/piece_scheduler.cpp
@@ -90,7 +90,7 @@
 	if (!verdict.admitted)
 	{
 		const std::string request = _submit.orders.empty() ? std::string() : _submit.orders.front().request;
-		_actions.emplace_back(RequestNotAdmitted{request, _from, _submit.admission->waitMost, verdict.waits});
+		_actions.emplace_back(RequestNotAdmitted{request, _from, _submit.admission->maxWait, verdict.waits});
 	}
 	return verdict.admitted;
 }
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -19,14 +19,14 @@
 
 std::vector<PeerMessage> samples()
 {
-	Farewell farewell;
+	ShutdownReport farewell;
 	farewell.issuer = Incarnation{"10.0.0.1:8500", 18'000'000'000'000'000'000U};
-	farewell.forgottenUpTo = 3;
-	farewell.ended[4] = Outcome{Verdict::NotRun, Reason::TicketSealed, true, 0, {}};
+	farewell.expiredUpTo = 3;
+	farewell.outcomes[4] = Outcome{Verdict::NotRun, Reason::TicketSealed, true, 0, {}};
 	Gossip gossip;
 	gossip.kind = GossipKind::Join;
 	gossip.sequence = 7;
-	gossip.news = {Member{"10.0.0.2:8500", 9, MemberState::Suspect, 12}};
+	gossip.updates = {Member{"10.0.0.2:8500", 9, MemberState::Suspect, 12}};
 	return {RelayRequest{1, RelayKind::Cancel, "t", "hall", "mark", std::string("\0\xff{", 3), "00-a-b-01"},
 			RelayToken{1, 2, "token"},
 			RelayResult{1, 503, 200'000, "{}"},
@@ -45,16 +45,16 @@
 						{PieceOrder{5, "abc", {1, 2}, "key", {"10.0.0.3:80/1"}, 900'000, 400'000, 1, 60'000, "north"}},
 						AdmissionTerms{300'000, true, {PoolDemand{"pool", 3}, PoolDemand{"other", 8}}}},
 			PieceSubmit{"pool", {}, std::nullopt},
-			FeedAsk{7, 8, 9, 10},
-			FeedNews{std::string("\0{", 2), 8,
-					 DirectoryChanges{
-						 9,
-						 30,
-						 true,
-						 {ListedEndpoint{"e", 5, Endpoint{"e-1", "10.0.0.3:80", "pool", "north", 6, true}, 1'800}},
-						 {"e-2"}},
-					 400'000, 7, 11},
-			FeedNews{},
+			FeedRequest{7, 8, 9, 10},
+			FeedResponse{std::string("\0{", 2), 8,
+						 DirectoryChanges{
+							 9,
+							 30,
+							 true,
+							 {ListedEndpoint{"e", 5, Endpoint{"e-1", "10.0.0.3:80", "pool", "north", 6, true}, 1'800}},
+							 {"e-2"}},
+						 400'000, 7, 11},
+			FeedResponse{},
 			PieceUpdate{{PieceStarted{4}},
 						{PieceCompleted{5, "10.0.0.3:80/2", "north"}},
 						{PieceFailed{6, PieceFault::NoSpace}},
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Routes against a plain search; endpoints whose listing is away.
+/// Tests of route matching against a linear search, and of endpoints during outages of the listing.
 
 #include "listing_log.h"
 #include "property.h"
@@ -22,7 +22,7 @@
 const std::vector<std::string> kPrefixes = {"/", "/a/", "/a/b/", "/a/b/c/", "/b/", "/ab/"};
 const std::vector<std::string> kPaths = {"/", "/a", "/a/", "/a/b/x", "/a/b/c/", "/b/a/", "/ab/x?q=/a/b/", "x", ""};
 
-/// Longest prefix by trying all routes.
+/// Finds the route with the longest matching prefix by trying all routes.
 const Route* searchAll(const RoutePlan& _plan, const std::string& _host, const std::string& _target)
 {
 	const std::string path = _target.substr(0, _target.find('?'));
@@ -96,7 +96,7 @@
 	cr_assert_null(plan.match("two.example", "/x"));
 }
 
-Test(routes, credential_names_its_workspace)
+Test(routes, credential_maps_to_its_workspace)
 {
 	RoutePlanData data;
 	data.workspaces = {WorkspaceAccess{"hall", {"k1", "k2"}, 1}, WorkspaceAccess{"results", {"k3"}, {}}};
@@ -107,88 +107,88 @@
 	cr_assert_null(plan.workspaceOf(""));
 }
 
-Test(routes, pools_are_drawn_by_weight)
+Test(routes, pools_are_chosen_by_weight)
 {
 	Route route;
 	route.pools = {PoolShare{"a", 90}, PoolShare{"b", 10}, PoolShare{"never", 0}};
 	std::map<std::string, int> counts;
-	for (std::uint64_t draw = 0; draw < 1'000; ++draw)
+	for (std::uint64_t random = 0; random < 1'000; ++random)
 	{
-		counts[drawPool(route, draw * (~std::uint64_t{0} / 1'000))] += 1;
+		counts[choosePool(route, random * (~std::uint64_t{0} / 1'000))] += 1;
 	}
 	cr_assert_eq(counts["a"], 900);
 	cr_assert_eq(counts["b"], 100);
 	cr_assert_eq(counts.count("never"), 0);
-	cr_assert(drawPool(Route{}, 7).empty());
+	cr_assert(choosePool(Route{}, 7).empty());
 }
 
-Test(directory, missing_entry_is_gone_at_once_while_the_listing_is_well)
+Test(directory, removed_entry_is_dropped_at_once_while_the_listing_is_available)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
-	directory.read(log.since(2, kSecond + 500 * kMillisecond), kSecond + 500 * kMillisecond);
+	directory.applyRead(log.since(2, kSecond + 500 * kMillisecond), kSecond + 500 * kMillisecond);
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-2"});
 }
 
-Test(directory, entry_that_lapsed_while_the_listing_was_away_has_time_to_come_back)
+Test(directory, entry_that_expired_during_an_outage_has_time_to_be_relisted)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
 	log.remove("e-2");
-	const Micros back = 10 * kSecond;
-	directory.read(log.whole(back), back);
+	const Micros availableAt = 10 * kSecond;
+	directory.applyRead(log.whole(availableAt), availableAt);
 	cr_assert_eq(usableIds(directory).size(), 2);
 	log.put(endpoint("e-1"));
-	directory.read(log.since(4, back + kSecond), back + kSecond);
-	cr_assert_not(directory.expire(back + 1'900 * kMillisecond));
-	cr_assert(directory.expire(back + 2 * kSecond));
+	directory.applyRead(log.since(4, availableAt + kSecond), availableAt + kSecond);
+	cr_assert_not(directory.expire(availableAt + 1'900 * kMillisecond));
+	cr_assert(directory.expire(availableAt + 2 * kSecond));
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-1"});
 }
 
-Test(directory, entry_that_goes_after_the_return_is_dropped_two_seconds_after_the_return)
+Test(directory, entry_removed_after_an_outage_is_dropped_two_seconds_after_its_end)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.read(log.whole(kSecond), kSecond);
-	const Micros back = 10 * kSecond;
-	directory.read(log.since(1, back), back);
+	directory.applyRead(log.whole(kSecond), kSecond);
+	const Micros availableAt = 10 * kSecond;
+	directory.applyRead(log.since(1, availableAt), availableAt);
 	log.remove("e-1");
-	directory.read(log.since(1, back + 1'800 * kMillisecond), back + 1'800 * kMillisecond);
+	directory.applyRead(log.since(1, availableAt + 1'800 * kMillisecond), availableAt + 1'800 * kMillisecond);
 	cr_assert_eq(usableIds(directory).size(), 1);
-	cr_assert(directory.expire(back + 2 * kSecond));
+	cr_assert(directory.expire(availableAt + 2 * kSecond));
 	cr_assert(usableIds(directory).empty());
 }
 
-Test(directory, slow_reading_is_no_reason_to_keep_a_missing_entry)
+Test(directory, slow_read_does_not_keep_a_removed_entry)
 {
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.read(log.whole(kSecond), kSecond);
+	directory.applyRead(log.whole(kSecond), kSecond);
 	log.remove("e-1");
-	directory.read(log.since(1, 3 * kSecond), 3 * kSecond);
+	directory.applyRead(log.since(1, 3 * kSecond), 3 * kSecond);
 	cr_assert(usableIds(directory).empty());
 }
 
-Test(directory, leaving_is_never_taken_back)
+Test(directory, leaving_is_never_reverted)
 {
 	checkHistories("directory",
 				   []
 				   {
 					   EndpointDirectory directory(DirectoryConfig{});
 					   ListingLog log;
-					   std::uint64_t known = 0;
-					   const auto readOn = [&](Micros _now)
-					   { directory.read(log.since(std::exchange(known, log.end()), _now), _now); };
+					   std::uint64_t readPosition = 0;
+					   const auto readChanges = [&](Micros _now)
+					   { directory.applyRead(log.since(std::exchange(readPosition, log.end()), _now), _now); };
 					   const std::vector<std::string> ids = {"e-1", "e-2", "e-3"};
 					   std::set<std::string> left;
 					   Micros now = kSecond;
@@ -201,11 +201,11 @@
 						   {
 						   case 0:
 							   log.put(endpoint(id));
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   case 1:
 							   log.put(endpoint(id, true));
-							   readOn(now);
+							   readChanges(now);
 							   left.insert(id);
 							   break;
 						   case 2:
@@ -214,10 +214,10 @@
 							   break;
 						   case 3:
 							   log.remove(id);
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   case 4:
-							   readOn(now);
+							   readChanges(now);
 							   break;
 						   default:
 							   directory.expire(now);
