--- a/src/logging.cpp
+++ b/src/logging.cpp
@@ -72,8 +72,8 @@
 					   {"part", QString::fromStdString(_part)}};
 }
 
-/// Writes a line unless the rate limit drops it. Warnings and errors are never dropped. The first line after a drop
-/// carries the total number of dropped lines.
+/// Writes a line unless the rate limit drops it. Warnings and errors are exempt from the limit. The first line after a
+/// drop contains the total number of dropped lines.
 void writeLine(const log4cxx::LevelPtr& _level, QJsonObject _line)
 {
 	static const log4cxx::LoggerPtr s_logger = log4cxx::Logger::getLogger("roadferry");
