--- a/src/adapter.h
+++ b/src/adapter.h
@@ -20,7 +20,7 @@
 {
 
 /// A new version of the routes.
-struct RoutesRead
+struct RoutesUpdate
 {
 	std::shared_ptr<const RoutePlan> plan;
 	std::string record; ///< As the platform keeps it, for nodes that cannot reach the platform.
@@ -34,7 +34,7 @@
 	std::uint64_t position = 0;
 };
 
-using FeedChange = std::variant<RoutesRead, ListedEndpoint, UnlistedEndpoint, UnreadableEntry>;
+using FeedChange = std::variant<RoutesUpdate, ListedEndpoint, UnlistedEndpoint, UnreadableEntry>;
 
 /// Part of a feed.
 struct FeedPage
@@ -43,7 +43,7 @@
 	std::vector<FeedChange> changes;
 };
 
-using FeedDone = std::function<void(absl::StatusOr<FeedPage>)>;
+using FeedCallback = std::function<void(absl::StatusOr<FeedPage>)>;
 
 /// What the platform tells of routes and endpoints. Called on the control thread, which the answers come back to.
 class Feed
@@ -52,59 +52,60 @@
 	virtual ~Feed() = default;
 
 	/// Reads the newest entry of every name.
-	virtual void readWhole(FeedTopic _topic, FeedDone _done) = 0;
+	virtual void readSnapshot(FeedTopic _topic, FeedCallback _done) = 0;
 
 	/// Reads what came after a position.
 	/// @param[in] _position Position that an earlier page gave.
 	/// @param[in] _wait How long to wait for something new, 0 for not at all.
 	/// @param[in] _limit How much later than that the answer may come.
 	/// @param[in] _done Called with OutOfRange when the platform does not hold these changes any more.
-	virtual void readFrom(FeedTopic _topic, std::uint64_t _position, Micros _wait, Micros _limit, FeedDone _done) = 0;
+	virtual void readChanges(FeedTopic _topic, std::uint64_t _position, Micros _wait, Micros _limit,
+							 FeedCallback _done) = 0;
 
 	/// Reads a record that another node has passed on.
-	[[nodiscard]] virtual absl::StatusOr<RoutesRead> readRecord(const std::string& _record) const = 0;
+	[[nodiscard]] virtual absl::StatusOr<RoutesUpdate> decodeRecord(const std::string& _record) const = 0;
 };
 
 /// The platform's forms of requests, answers and pieces.
-class Wire
+class WireFormat
 {
 public:
-	virtual ~Wire() = default;
+	virtual ~WireFormat() = default;
 
 	/// @returns Whether a request at the readiness address asks if this node takes requests.
-	[[nodiscard]] virtual bool asksReadiness(const HttpRequest& _request) const = 0;
+	[[nodiscard]] virtual bool isReadinessProbe(const HttpRequest& _request) const = 0;
 
 	/// @returns The request, or InvalidArgument that says what a client has to mend.
-	[[nodiscard]] virtual absl::StatusOr<ForwardRequest> readRequest(HttpRequest _request) const = 0;
+	[[nodiscard]] virtual absl::StatusOr<ForwardRequest> parseRequest(HttpRequest _request) const = 0;
 
 	/// @returns What to send to the endpoint.
-	[[nodiscard]] virtual HttpRequest endpointRequest(const ForwardRequest& _request,
-													  const ForwardAttempt& _attempt) const = 0;
+	[[nodiscard]] virtual HttpRequest makeEndpointRequest(const ForwardRequest& _request,
+														  const ForwardAttempt& _attempt) const = 0;
 
-	[[nodiscard]] virtual ForwardHead readHead(unsigned _status, const HttpHeaders& _headers) const = 0;
+	[[nodiscard]] virtual ForwardHead parseHead(unsigned _status, const HttpHeaders& _headers) const = 0;
 
 	/// Number of an event of a stream, from its text without the empty line at its end.
 	/// @returns Nothing when the event has none.
-	[[nodiscard]] virtual std::optional<std::uint64_t> eventNumber(std::string_view _event) const = 0;
+	[[nodiscard]] virtual std::optional<std::uint64_t> eventId(std::string_view _event) const = 0;
 
 	/// @returns The call that makes pieces at an endpoint.
-	[[nodiscard]] virtual HttpRequest batchRequest(const StartBatch& _batch, Micros _now) const = 0;
+	[[nodiscard]] virtual HttpRequest makeBatchRequest(const StartBatch& _batch, Micros _now) const = 0;
 
 	/// @returns What became of the pieces; BatchCut for an answer that cannot be used.
-	[[nodiscard]] virtual BatchEnd readBatch(const CallEnd& _end, std::size_t _pieces) const = 0;
+	[[nodiscard]] virtual BatchEnd parseBatchResponse(const CallEnd& _end, std::size_t _pieces) const = 0;
 
 	/// @returns The call that lets an endpoint drop results.
-	[[nodiscard]] virtual HttpRequest freeRequest(const std::vector<std::string>& _handles) const = 0;
+	[[nodiscard]] virtual HttpRequest makeFreeRequest(const std::vector<std::string>& _handles) const = 0;
 
 	/// @returns Address of the endpoint that keeps a result, empty when the handle is malformed.
-	[[nodiscard]] virtual std::string keeperOf(const std::string& _handle) const = 0;
+	[[nodiscard]] virtual std::string resultAddress(const std::string& _handle) const = 0;
 };
 
 /// A platform's adapter.
 struct Adapter
 {
 	std::string_view name;
-	std::unique_ptr<Wire> (*makeWire)();
+	std::unique_ptr<WireFormat> (*makeWireFormat)();
 
 	/// @param[in] _client Client for calls to the platform.
 	/// @param[in] _thread Thread of the client's pool.
--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -32,30 +32,30 @@
 
 } // namespace
 
-std::vector<std::string> EventSplitter::take(std::string_view _bytes)
+std::vector<std::string> EventSplitter::append(std::string_view _bytes)
 {
-	this->held.append(_bytes);
+	this->buffer.append(_bytes);
 	std::vector<std::string> events;
 	std::size_t begin = 0;
-	std::size_t end = endOfEvent(this->held, begin);
+	std::size_t end = endOfEvent(this->buffer, begin);
 	while (end != std::string::npos)
 	{
-		events.push_back(this->held.substr(begin, end - begin));
+		events.push_back(this->buffer.substr(begin, end - begin));
 		begin = end;
-		end = endOfEvent(this->held, begin);
+		end = endOfEvent(this->buffer, begin);
 	}
-	this->held.erase(0, begin);
+	this->buffer.erase(0, begin);
 	return events;
 }
 
-bool EventSplitter::hasPart() const
+bool EventSplitter::hasPartialEvent() const
 {
-	return !this->held.empty();
+	return !this->buffer.empty();
 }
 
-bool EventSplitter::overflown() const
+bool EventSplitter::exceedsLimit() const
 {
-	return this->held.size() > kEventLimit;
+	return this->buffer.size() > kEventLimit;
 }
 
 } // namespace roadferry
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -23,16 +23,16 @@
 public:
 	/// Takes bytes as they came.
 	/// @returns The whole events among all bytes so far, each with the empty line at its end.
-	std::vector<std::string> take(std::string_view _bytes);
+	std::vector<std::string> append(std::string_view _bytes);
 
 	/// @returns Whether bytes of an event that is not whole are held.
-	[[nodiscard]] bool hasPart() const;
+	[[nodiscard]] bool hasPartialEvent() const;
 
 	/// @returns Whether more than an event's limit was held without its end.
-	[[nodiscard]] bool overflown() const;
+	[[nodiscard]] bool exceedsLimit() const;
 
 private:
-	std::string held;
+	std::string buffer;
 };
 
 } // namespace roadferry
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -90,12 +90,12 @@
 	};
 	if (!this->position)
 	{
-		this->feed.readWhole(this->topic, whenDone(true));
+		this->feed.readSnapshot(this->topic, whenDone(true));
 		return;
 	}
 	this->wait = this->waitNow();
 	const Micros limit = this->lost() ? kPatientLimit : kPromptLimit;
-	this->feed.readFrom(this->topic, *this->position, this->wait, limit, whenDone(false));
+	this->feed.readChanges(this->topic, *this->position, this->wait, limit, whenDone(false));
 }
 
 Micros FeedLoop::waitNow() const
--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -19,69 +19,69 @@
 namespace
 {
 
-constexpr unsigned kFirstFailure = 400;
-constexpr unsigned kFirstServerFailure = 500;
+constexpr unsigned kFirstErrorStatus = 400;
+constexpr unsigned kFirstServerErrorStatus = 500;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 
 /// Statuses by which a server promises that the request has not run.
-bool promisesNotRun(unsigned _status)
+bool impliesNotRun(unsigned _status)
 {
 	return _status == kTooManyRequests || _status == kUnavailable;
 }
 
 } // namespace
 
-ForwardAnswer::ForwardAnswer(const Wire& _wire, std::shared_ptr<HttpReply> _reply, std::string _requestId,
+ForwardAnswer::ForwardAnswer(const WireFormat& _wire, std::shared_ptr<HttpReply> _reply, std::string _requestId,
 							 bool _streaming, bool _repeatable)
-	: wire(_wire), client(std::move(_reply)), requestId(std::move(_requestId)), streaming(_streaming),
+	: wire(_wire), clientReply(std::move(_reply)), requestId(std::move(_requestId)), streaming(_streaming),
 	  repeatable(_repeatable)
 {
 }
 
 void ForwardAnswer::beginAttempt()
 {
-	this->current.reset();
-	this->cutter = EventSplitter();
+	this->currentHead.reset();
+	this->splitter = EventSplitter();
 	this->body.clear();
-	this->spoiled = false;
+	this->streamInvalid = false;
 }
 
-HeadVerdict ForwardAnswer::takeHead(unsigned _status, const HttpHeaders& _headers)
+HeadVerdict ForwardAnswer::receiveHead(unsigned _status, const HttpHeaders& _headers)
 {
-	ForwardHead head = this->wire.readHead(_status, _headers);
+	ForwardHead head = this->wire.parseHead(_status, _headers);
 	if (head.requestId != this->requestId && !head.notRun)
 	{
 		return HeadVerdict::Skip;
 	}
-	this->current = std::move(head);
+	this->currentHead = std::move(head);
 	return HeadVerdict::Take;
 }
 
-bool ForwardAnswer::isGood() const
+bool ForwardAnswer::isUsable() const
 {
-	return this->current && this->current->status < kFirstFailure && this->current->authentic &&
-		   !this->current->encoded && !this->current->notRun;
+	return this->currentHead && this->currentHead->status < kFirstErrorStatus && this->currentHead->hasSignature &&
+		   !this->currentHead->contentEncoded && !this->currentHead->notRun;
 }
 
-void ForwardAnswer::takeData(const std::string& _bytes)
+void ForwardAnswer::receiveData(const std::string& _bytes)
 {
-	if (!this->streaming || !this->isGood())
+	if (!this->streaming || !this->isUsable())
 	{
 		this->body += _bytes;
 		return;
 	}
-	for (const std::string& event : this->cutter.take(_bytes))
+	for (const std::string& event : this->splitter.append(_bytes))
 	{
-		this->passEvent(event);
+		this->forwardEvent(event);
 	}
-	this->spoiled = this->spoiled || this->cutter.overflown();
+	this->streamInvalid = this->streamInvalid || this->splitter.exceedsLimit();
 }
 
-void ForwardAnswer::passEvent(const std::string& _event)
+void ForwardAnswer::forwardEvent(const std::string& _event)
 {
-	const auto number = this->wire.eventNumber(_event);
-	if (number && this->last && *number <= *this->last)
+	const auto number = this->wire.eventId(_event);
+	if (number && this->lastSentId && *number <= *this->lastSentId)
 	{
 		return; // The client has it from an earlier attempt.
 	}
@@ -92,10 +92,10 @@
 	times.firstAt = times.events == 0 ? now : times.firstAt;
 	times.lastAt = now;
 	times.events += 1;
-	this->client->write(_event);
+	this->clientReply->write(_event);
 	if (number)
 	{
-		this->last = number;
+		this->lastSentId = number;
 	}
 }
 
@@ -104,7 +104,7 @@
 	if (!this->streamStarted)
 	{
 		this->streamStarted = true;
-		this->client->startStream(this->current->status, this->current->headers);
+		this->clientReply->startStream(this->currentHead->status, this->currentHead->headers);
 	}
 }
 
@@ -114,44 +114,44 @@
 	{
 		return AttemptNotSent{};
 	}
-	if (_end.result == CallResult::Cut || !this->current)
+	if (_end.result == CallResult::Cut || !this->currentHead)
 	{
 		return AttemptCut{};
 	}
-	if (this->current->notRun)
+	if (this->currentHead->notRun)
 	{
 		return AttemptRefused{};
 	}
-	if (this->isGood() && this->streaming)
+	if (this->isUsable() && this->streaming)
 	{
-		if (this->spoiled || this->cutter.hasPart())
+		if (this->streamInvalid || this->splitter.hasPartialEvent())
 		{
 			return AttemptCut{};
 		}
 		this->startStream();
 		return AttemptAnswered{};
 	}
-	const unsigned status = this->current->status;
-	if (status < kFirstFailure && !this->isGood())
+	const unsigned status = this->currentHead->status;
+	if (status < kFirstErrorStatus && !this->isUsable())
 	{
 		return AttemptCut{};
 	}
-	if (this->streamStarted || (promisesNotRun(status) && !this->repeatable))
+	if (this->streamStarted || (impliesNotRun(status) && !this->repeatable))
 	{
 		// A failure has no place inside a stream; and this status would promise what the endpoint did not.
 		return AttemptCut{};
 	}
-	this->keptHead = this->current;
+	this->keptHead = this->currentHead;
 	this->keptBody = _end.body.empty() ? this->body : _end.body;
-	const bool tryAgain = status >= kFirstServerFailure && this->repeatable;
-	return tryAgain ? AttemptEnd(AttemptCut{}) : AttemptEnd(AttemptAnswered{});
+	const bool mayRetry = status >= kFirstServerErrorStatus && this->repeatable;
+	return mayRetry ? AttemptEnd(AttemptCut{}) : AttemptEnd(AttemptAnswered{});
 }
 
 void ForwardAnswer::deliver()
 {
 	if (this->streamStarted)
 	{
-		this->client->endStream();
+		this->clientReply->endStream();
 		return;
 	}
 	HttpResponse response;
@@ -159,7 +159,7 @@
 	response.contentType.clear();
 	response.headers = this->keptHead->headers;
 	response.body = std::move(this->keptBody);
-	this->client->send(std::move(response));
+	this->clientReply->send(std::move(response));
 }
 
 void ForwardAnswer::refuse(unsigned _status, Micros _retryAfter, const std::string& _code, const std::string& _message)
@@ -173,32 +173,32 @@
 	}
 	const QJsonObject error{{"code", QString::fromStdString(_code)}, {"message", QString::fromStdString(_message)}};
 	response.body = toText(QJsonObject{{"error", error}});
-	this->client->send(std::move(response));
+	this->clientReply->send(std::move(response));
 }
 
 void ForwardAnswer::abort()
 {
-	this->client->abort();
+	this->clientReply->abort();
 }
 
-bool ForwardAnswer::hasFailure() const
+bool ForwardAnswer::hasErrorResponse() const
 {
 	return this->keptHead.has_value() && !this->streamStarted;
 }
 
-bool ForwardAnswer::started() const
+bool ForwardAnswer::hasStarted() const
 {
 	return this->streamStarted;
 }
 
-std::optional<std::uint64_t> ForwardAnswer::lastEvent() const
+std::optional<std::uint64_t> ForwardAnswer::lastEventId() const
 {
-	return this->last;
+	return this->lastSentId;
 }
 
 const std::optional<ForwardHead>& ForwardAnswer::head() const
 {
-	return this->current;
+	return this->currentHead;
 }
 
 const ForwardAnswer::StreamTimes& ForwardAnswer::times() const
@@ -208,7 +208,7 @@
 
 const std::shared_ptr<HttpReply>& ForwardAnswer::reply() const
 {
-	return this->client;
+	return this->clientReply;
 }
 
 } // namespace roadferry
--- a/src/forward_answer.h
+++ b/src/forward_answer.h
@@ -24,12 +24,12 @@
 	/// @param[in] _requestId Id that an endpoint's answer has to carry.
 	/// @param[in] _streaming Whether a good answer is a stream of events.
 	/// @param[in] _repeatable Whether the request may run more than once.
-	ForwardAnswer(const Wire& _wire, std::shared_ptr<HttpReply> _reply, std::string _requestId, bool _streaming,
+	ForwardAnswer(const WireFormat& _wire, std::shared_ptr<HttpReply> _reply, std::string _requestId, bool _streaming,
 				  bool _repeatable);
 
 	void beginAttempt();
-	HeadVerdict takeHead(unsigned _status, const HttpHeaders& _headers);
-	void takeData(const std::string& _bytes);
+	HeadVerdict receiveHead(unsigned _status, const HttpHeaders& _headers);
+	void receiveData(const std::string& _bytes);
 
 	/// Ends an attempt.
 	/// @returns What the attempt came to. The answer, if it is one, is kept for deliver().
@@ -46,13 +46,13 @@
 	void abort();
 
 	/// @returns Whether an endpoint's own failure is kept, to be passed on if nothing better comes.
-	[[nodiscard]] bool hasFailure() const;
+	[[nodiscard]] bool hasErrorResponse() const;
 
 	/// @returns Whether part of a stream has gone to the client.
-	[[nodiscard]] bool started() const;
+	[[nodiscard]] bool hasStarted() const;
 
 	/// @returns Number of the last event that has gone to the client.
-	[[nodiscard]] std::optional<std::uint64_t> lastEvent() const;
+	[[nodiscard]] std::optional<std::uint64_t> lastEventId() const;
 
 	/// @returns Head of the attempt's response, if one has come.
 	[[nodiscard]] const std::optional<ForwardHead>& head() const;
@@ -71,25 +71,25 @@
 	[[nodiscard]] const StreamTimes& times() const;
 
 private:
-	void passEvent(const std::string& _event);
+	void forwardEvent(const std::string& _event);
 	void startStream();
-	[[nodiscard]] bool isGood() const;
+	[[nodiscard]] bool isUsable() const;
 
-	const Wire& wire;
-	std::shared_ptr<HttpReply> client;
+	const WireFormat& wire;
+	std::shared_ptr<HttpReply> clientReply;
 	std::string requestId;
 	bool streaming;
 	bool repeatable;
 
-	std::optional<ForwardHead> current; ///< Of the attempt under way, or the last one.
-	EventSplitter cutter;
+	std::optional<ForwardHead> currentHead; ///< Of the attempt under way, or the last one.
+	EventSplitter splitter;
 	std::string body;
-	bool spoiled = false; ///< The attempt's stream cannot be used any further.
+	bool streamInvalid = false; ///< The attempt's stream cannot be used any further.
 
 	std::optional<ForwardHead> keptHead; ///< Of a whole answer that can be delivered.
 	std::string keptBody;
 	bool streamStarted = false;
-	std::optional<std::uint64_t> last;
+	std::optional<std::uint64_t> lastSentId;
 	StreamTimes streamTimes;
 };
 
--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -20,13 +20,14 @@
 {
 
 constexpr int kTickMs = 200;
-constexpr Micros kLateWorthALine = 300 * kMillisecond; ///< Of a tick of this thread.
-constexpr Micros kAskEvery = 400 * kMillisecond; ///< Between two questions to other nodes while the platform is away.
+constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Of a tick of this thread.
+constexpr Micros kPeerQueryInterval =
+	400 * kMillisecond; ///< Between two questions to other nodes while the platform is away.
 constexpr std::int64_t kNanosPerMicro = 1'000;
 /// Part of the retries that all nodes together are allowed: views of who is alive differ for seconds.
-constexpr double kRetryCaution = 0.6;
-constexpr std::size_t kUnreadableLogged = 5; ///< Entries of one reading that get a line each.
-constexpr std::size_t kFewestNodes = 3;      ///< Assumed until the members are known.
+constexpr double kRetrySafetyFactor = 0.6;
+constexpr std::size_t kMaxUnreadableLogged = 5; ///< Entries of one reading that get a line each.
+constexpr std::size_t kMinNodes = 3;            ///< Assumed until the members are known.
 
 } // namespace
 
@@ -69,7 +70,7 @@
 							  [&](const StopReading&) { this->stopReading(); },
 							  [&](const SendFeedAsk& _ask) { this->send(_ask.to, _ask.message); },
 							  [&](const SendFeedNews& _news) { this->send(_news.to, _news.message); },
-							  [&](const DecodeRoutes& _routes) { this->takeRecord(_routes.from, _routes.record); },
+							  [&](const DecodeRoutes& _routes) { this->applyRecord(_routes.from, _routes.record); },
 							  [&](const AskNext&) { this->perform(this->exchange.ask(monotonicNow())); },
 							  [&](const EndpointsChanged&) { this->publishEndpoints(); }},
 				   action);
@@ -100,9 +101,9 @@
 {
 	for (const FeedChange& change : _reading.page.changes)
 	{
-		if (const auto* read = std::get_if<RoutesRead>(&change))
+		if (const auto* read = std::get_if<RoutesUpdate>(&change))
 		{
-			this->takePlan(*read, "platform");
+			this->applyPlan(*read, "platform");
 		}
 		else if (const auto* fault = std::get_if<UnreadableEntry>(&change))
 		{
@@ -113,7 +114,7 @@
 	this->publishKnowledge();
 }
 
-void ForwardControl::takePlan(const RoutesRead& _read, const std::string& _source)
+void ForwardControl::applyPlan(const RoutesUpdate& _read, const std::string& _source)
 {
 	const std::uint64_t version = _read.plan->data().version;
 	if (this->plan != nullptr && version <= this->plan->data().version)
@@ -156,7 +157,7 @@
 	{
 		std::visit(
 			Overloaded{
-				[](const RoutesRead&) {},
+				[](const RoutesUpdate&) {},
 				[&](const ListedEndpoint& _listed)
 				{
 					read.changes.emplace_back(_listed);
@@ -171,7 +172,7 @@
 				{
 					read.changes.emplace_back(UnusableEntry{_fault.name, _fault.position});
 					unreadable += 1;
-					if (unreadable <= kUnreadableLogged)
+					if (unreadable <= kMaxUnreadableLogged)
 					{
 						logEvent("control", "endpoint_unreadable", {{"name", _fault.name}, {"fault", _fault.fault}});
 					}
@@ -179,9 +180,9 @@
 			},
 			change);
 	}
-	if (unreadable > kUnreadableLogged)
+	if (unreadable > kMaxUnreadableLogged)
 	{
-		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kUnreadableLogged}});
+		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kMaxUnreadableLogged}});
 	}
 	this->perform(this->exchange.endpointsRead(read, monotonicNow()));
 	this->publishKnowledge();
@@ -202,19 +203,19 @@
 	}
 	this->members = alive;
 	this->exchange.setMembers(alive);
-	const auto nodes = static_cast<double>(std::max(kFewestNodes, alive.size()));
+	const auto nodes = static_cast<double>(std::max(kMinNodes, alive.size()));
 	this->traffic.setMembers(alive);
-	this->traffic.setRetryBounds(this->settings.retryShare * kRetryCaution,
-								 this->settings.retrySlack * kRetryCaution / nodes);
+	this->traffic.setRetryBounds(this->settings.retryShare * kRetrySafetyFactor,
+								 this->settings.retrySlack * kRetrySafetyFactor / nodes);
 	logEvent("control", "members", {{"alive", alive.size()}, {"retry_burst_of", static_cast<std::int64_t>(nodes)}});
 }
 
 /// Says so when this thread does not get a processor, or has too much to do.
-void ForwardControl::noteLateness(Micros _now)
+void ForwardControl::logLateTick(Micros _now)
 {
-	const Micros late = this->tickedAt == 0 ? 0 : _now - this->tickedAt - kTickMs * kMillisecond;
-	this->tickedAt = _now;
-	if (late >= kLateWorthALine)
+	const Micros late = this->lastTickAt == 0 ? 0 : _now - this->lastTickAt - kTickMs * kMillisecond;
+	this->lastTickAt = _now;
+	if (late >= kLateTickLogThreshold)
 	{
 		logEvent("control", "thread_late", {{"late_ms", late / kMillisecond}});
 	}
@@ -223,13 +224,13 @@
 void ForwardControl::tick()
 {
 	const Micros now = monotonicNow();
-	this->noteLateness(now);
-	this->carry(this->membership.tick(now));
+	this->logLateTick(now);
+	this->sendAll(this->membership.tick(now));
 	this->publishMembers();
 	this->perform(this->exchange.tick(now));
 	this->publishKnowledge();
 	this->routeLoop.setWait(this->exchange.routesWait());
-	this->askPeers(now);
+	this->queryPeers(now);
 }
 
 void ForwardControl::onFeedAsk(const std::string& _peer, const FeedAsk& _ask)
@@ -266,9 +267,9 @@
 }
 
 /// While the platform is away, or has not answered yet, other nodes may know more.
-void ForwardControl::askPeers(Micros _now)
+void ForwardControl::queryPeers(Micros _now)
 {
-	if (!this->exchange.away() || _now < this->askAt)
+	if (!this->exchange.away() || _now < this->nextPeerQueryAt)
 	{
 		return;
 	}
@@ -279,12 +280,12 @@
 	{
 		return;
 	}
-	this->askAt = _now + kAskEvery;
-	this->askTurn += 1;
+	this->nextPeerQueryAt = _now + kPeerQueryInterval;
+	this->peerQueryCount += 1;
 	RoutesAsk ask;
 	ask.version = this->exchange.routes().version;
 	ask.endpoints = !this->exchange.ready();
-	this->send(peers[this->askTurn % peers.size()], ask);
+	this->send(peers[this->peerQueryCount % peers.size()], ask);
 }
 
 void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask)
@@ -308,14 +309,14 @@
 }
 
 /// Takes routes that another node has passed on.
-void ForwardControl::takeRecord(const std::string& _peer, const std::string& _record)
+void ForwardControl::applyRecord(const std::string& _peer, const std::string& _record)
 {
 	const absl::StatusOr<std::string> text = unpackRecord(_record);
-	const absl::StatusOr<RoutesRead> read =
-		text.ok() ? this->feed.readRecord(*text) : absl::StatusOr<RoutesRead>(text.status());
+	const absl::StatusOr<RoutesUpdate> read =
+		text.ok() ? this->feed.decodeRecord(*text) : absl::StatusOr<RoutesUpdate>(text.status());
 	if (read.ok())
 	{
-		this->takePlan(*read, _peer);
+		this->applyPlan(*read, _peer);
 	}
 	else
 	{
@@ -327,12 +328,12 @@
 {
 	if (!_give.record.empty())
 	{
-		this->takeRecord(_peer, _give.record);
+		this->applyRecord(_peer, _give.record);
 	}
 	this->perform(this->exchange.learn(_give.endpoints, _give.leaving, monotonicNow()));
 }
 
-void ForwardControl::carry(const std::vector<SendGossip>& _messages)
+void ForwardControl::sendAll(const std::vector<SendGossip>& _messages)
 {
 	for (const SendGossip& message : _messages)
 	{
@@ -342,13 +343,13 @@
 
 void ForwardControl::onGossip(const std::string& _peer, const Gossip& _message)
 {
-	this->carry(this->membership.receive(_peer, _message, monotonicNow()));
+	this->sendAll(this->membership.receive(_peer, _message, monotonicNow()));
 	this->publishMembers();
 }
 
 void ForwardControl::leave()
 {
-	this->carry(this->membership.leave());
+	this->sendAll(this->membership.leave());
 }
 
 } // namespace roadferry
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -60,15 +60,15 @@
 	void onEndpoints(const FeedReading& _reading);
 	void logListed(const ListedEndpoint& _listed) const;
 	void logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const;
-	void takeRecord(const std::string& _peer, const std::string& _record);
-	void takePlan(const RoutesRead& _read, const std::string& _source);
+	void applyRecord(const std::string& _peer, const std::string& _record);
+	void applyPlan(const RoutesUpdate& _read, const std::string& _source);
 	void publishEndpoints();
 	void publishMembers();
 	void publishKnowledge();
-	void noteLateness(Micros _now);
+	void logLateTick(Micros _now);
 	void tick();
-	void askPeers(Micros _now);
-	void carry(const std::vector<SendGossip>& _messages);
+	void queryPeers(Micros _now);
+	void sendAll(const std::vector<SendGossip>& _messages);
 
 	Feed& feed;
 	ForwardTraffic& traffic;
@@ -82,9 +82,9 @@
 	QTimer timer;
 	std::shared_ptr<const RoutePlan> plan;
 	std::vector<std::string> members;
-	Micros tickedAt = 0;
-	Micros askAt = 0;
-	std::size_t askTurn = 0;
+	Micros lastTickAt = 0;
+	Micros nextPeerQueryAt = 0;
+	std::size_t peerQueryCount = 0;
 };
 
 } // namespace roadferry
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -22,15 +22,15 @@
 constexpr int kReadyPeriodMs = 20;
 constexpr int kDrainPeriodMs = 20;
 constexpr int kSettingsPeriodMs = 1'000;
-constexpr std::uint64_t kQueuedWorthALine =
+constexpr std::uint64_t kQueuedBytesLogThreshold =
 	64 * 1024; ///< Bytes that wait for one node: a tenth of a second at 5 Mbit/s.
 /// Balancers ask once a second and need two answers that say no; what they still send until then is served.
-constexpr Micros kBalancerNotice = 2'600 * kMillisecond;
-constexpr Micros kFarewellTime = 100 * kMillisecond;   ///< For the last messages to leave.
+constexpr Micros kBalancerNoticeTime = 2'600 * kMillisecond;
+constexpr Micros kFlushTime = 100 * kMillisecond;      ///< For the last messages to leave.
 constexpr Micros kStopMargin = 800 * kMillisecond;     ///< Kept of the time for a planned stop, for its own end.
 constexpr Micros kRefuseMargin = 1'200 * kMillisecond; ///< Before the end of that time, for refusals to arrive.
 constexpr Micros kLeaseMargin = 50 * kMillisecond;     ///< For a request to reach its endpoint.
-constexpr Micros kBodyTime = 30 * kSecond;             ///< For a client to send a body.
+constexpr Micros kBodyTimeout = 30 * kSecond;          ///< For a client to send a body.
 
 } // namespace
 
@@ -111,13 +111,13 @@
 
 absl::Status ForwardNode::start(std::function<void()> _stopped)
 {
-	this->stopped = std::move(_stopped);
+	this->onStopped = std::move(_stopped);
 	const Adapter* adapter = findAdapter(this->settings.adapter);
 	if (adapter == nullptr)
 	{
 		return absl::InvalidArgumentError(absl::StrCat("there is no adapter ", this->settings.adapter));
 	}
-	this->wire = adapter->makeWire();
+	this->wire = adapter->makeWireFormat();
 	absl::Status status = this->listenForPeers();
 	if (!status.ok())
 	{
@@ -144,7 +144,7 @@
 					 [this]
 					 {
 						 this->watchSettings();
-						 this->logQueues();
+						 this->logPeerLink();
 					 });
 	this->settingsTimer.start(kSettingsPeriodMs);
 	return absl::OkStatus();
@@ -157,7 +157,7 @@
 	http.headerBytes = static_cast<std::size_t>(limits.headerBytes);
 	http.bodyBytes = static_cast<std::size_t>(limits.bodyBytes);
 	http.headerTimeout = limits.headerTime;
-	http.requestTimeout = kBodyTime;
+	http.requestTimeout = kBodyTimeout;
 	http.idleTimeout = limits.idleTime;
 	this->server->setLimits(http);
 }
@@ -166,9 +166,9 @@
 {
 	HttpResponse response;
 	response.contentType = "text/plain";
-	if (this->wire->asksReadiness(_request))
+	if (this->wire->isReadinessProbe(_request))
 	{
-		response.status = this->isReady && !this->leaving && this->traffic->mayHandleNow() ? 200 : 503;
+		response.status = this->isReady && !this->draining && this->traffic->mayHandleNow() ? 200 : 503;
 	}
 	else if (_request.target == "/metrics")
 	{
@@ -189,19 +189,20 @@
 		logWarning("peer", absl::StrCat(_peer, ": ", std::string(message.status().message())));
 		return;
 	}
-	const auto onControl = [this](std::function<void()> _function)
-	{ QMetaObject::invokeMethod(&this->controlThread, std::move(_function), Qt::QueuedConnection); };
+	const auto runOnControlThread = [this](std::function<void()> _function)
+	{ QMetaObject::invokeMethod(&this->controlContext, std::move(_function), Qt::QueuedConnection); };
 	std::visit(
 		Overloaded{
-			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->control->onGossip(_peer, _typed); }); },
+			[&](const Gossip& _typed)
+			{ runOnControlThread([this, _peer, _typed] { this->control->onGossip(_peer, _typed); }); },
 			[&](const RoutesAsk& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onRoutesAsk(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesAsk(_peer, _typed); }); },
 			[&](const RoutesGive& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onRoutesGive(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesGive(_peer, _typed); }); },
 			[&](const FeedAsk& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
 			[&](const FeedNews& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onFeedNews(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedNews(_peer, _typed); }); },
 			[&](const PieceAsk& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceGive& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceDrop& _typed) { this->traffic->receive(_peer, _typed); },
@@ -220,11 +221,11 @@
 		return;
 	}
 	this->settingsText = read->fileText;
-	const bool moved = read->port != this->settings.port || read->peerPort != this->settings.peerPort ||
-					   read->feedAddress != this->settings.feedAddress;
+	const bool needsRestart = read->port != this->settings.port || read->peerPort != this->settings.peerPort ||
+							  read->feedAddress != this->settings.feedAddress;
 	this->settings.drainSeconds = read->drainSeconds;
 	// Addresses hold until the next start.
-	logEvent("node", "reloaded", {{"needs_restart", moved}});
+	logEvent("node", "reloaded", {{"needs_restart", needsRestart}});
 }
 
 /// The file may change without a signal.
@@ -238,48 +239,49 @@
 }
 
 /// Says so when messages to other nodes pile up or vanish, at most once a second.
-void ForwardNode::logQueues()
+void ForwardNode::logPeerLink()
 {
 	const std::uint64_t queued = this->link->takeMostQueued();
 	const std::uint64_t bytes = this->link->bytes();
-	if (queued >= kQueuedWorthALine)
+	if (queued >= kQueuedBytesLogThreshold)
 	{
-		logEvent("peer", "queued", {{"bytes_for_one_node", queued}, {"bytes_in_and_out", bytes - this->bytesLogged}});
+		logEvent("peer", "queued",
+				 {{"bytes_for_one_node", queued}, {"bytes_in_and_out", bytes - this->loggedPeerBytes}});
 	}
-	this->bytesLogged = bytes;
+	this->loggedPeerBytes = bytes;
 	const std::uint64_t silent = this->link->silentConnections();
-	if (silent > this->silentLogged)
+	if (silent > this->loggedSilentConnections)
 	{
-		logEvent("peer", "silent_connections_closed", {{"connections", silent - this->silentLogged}});
-		this->silentLogged = silent;
+		logEvent("peer", "silent_connections_closed", {{"connections", silent - this->loggedSilentConnections}});
+		this->loggedSilentConnections = silent;
 	}
 }
 
 void ForwardNode::drain()
 {
-	if (this->leaving.exchange(true))
+	if (this->draining.exchange(true))
 	{
 		return;
 	}
 	logEvent("node", "stop_begins", {{"in_flight", this->traffic->inFlight()}});
-	this->drainBegan = monotonicNow();
-	this->traffic->stopAt(this->drainBegan + kBalancerNotice,
-						  this->drainBegan + this->settings.drainSeconds * kSecond - kStopMargin);
+	this->drainStartedAt = monotonicNow();
+	this->traffic->stopAt(this->drainStartedAt + kBalancerNoticeTime,
+						  this->drainStartedAt + this->settings.drainSeconds * kSecond - kStopMargin);
 	this->control->leave();
-	QObject::connect(&this->drainTimer, &QTimer::timeout, [this] { this->awaitIdle(); });
+	QObject::connect(&this->drainTimer, &QTimer::timeout, [this] { this->continueDrain(); });
 	this->drainTimer.start(kDrainPeriodMs);
 }
 
-void ForwardNode::awaitIdle()
+void ForwardNode::continueDrain()
 {
-	const Micros waited = monotonicNow() - this->drainBegan;
-	if (waited < kBalancerNotice)
+	const Micros waited = monotonicNow() - this->drainStartedAt;
+	if (waited < kBalancerNoticeTime)
 	{
 		return;
 	}
 	// Requests that still come over open connections are served; each connection closes after its answer.
 	this->server->closeAfterAnswers();
-	if (waited >= this->settings.drainSeconds * kSecond - kRefuseMargin && !std::exchange(this->refusedUnsent, true))
+	if (waited >= this->settings.drainSeconds * kSecond - kRefuseMargin && !std::exchange(this->unsentRefused, true))
 	{
 		this->traffic->refuseUnsent();
 	}
@@ -288,21 +290,21 @@
 	{
 		return;
 	}
-	if (this->farewellAt == 0)
+	if (this->flushStartedAt == 0)
 	{
-		this->farewellAt = monotonicNow();
+		this->flushStartedAt = monotonicNow();
 		this->server->stopAccepting();
 		return;
 	}
-	if (monotonicNow() - this->farewellAt < kFarewellTime)
+	if (monotonicNow() - this->flushStartedAt < kFlushTime)
 	{
 		return;
 	}
 	this->drainTimer.stop();
 	logEvent("node", "stopped", {{"in_flight", this->traffic->inFlight()}, {"after_ms", waited / kMillisecond}});
-	if (this->stopped)
+	if (this->onStopped)
 	{
-		this->stopped();
+		this->onStopped();
 	}
 }
 
--- a/src/forward_node.h
+++ b/src/forward_node.h
@@ -38,34 +38,34 @@
 	void onPeerMessage(const std::string& _peer, const std::string& _bytes);
 	void handleReadiness(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 	void applyLimits(const RoutePlan& _plan);
-	void awaitIdle();
+	void continueDrain();
 	void watchSettings();
-	void logQueues();
+	void logPeerLink();
 
 	Settings settings;
 	IoPool pool;
 	HttpClient client;
 	Metrics metrics;
-	QObject controlThread; ///< Receives what is to run on the control thread.
-	std::unique_ptr<Wire> wire;
+	QObject controlContext; ///< Receives what is to run on the control thread.
+	std::unique_ptr<WireFormat> wire;
 	std::unique_ptr<Feed> feed;
 	std::unique_ptr<PeerLink> link;
 	std::unique_ptr<ForwardTraffic> traffic;
 	std::unique_ptr<ForwardControl> control;
 	std::unique_ptr<HttpServer> server;
 	std::unique_ptr<HttpServer> readinessServer;
-	std::uint64_t bytesLogged = 0; ///< Of messages between nodes, at the last look at their queues.
-	std::uint64_t silentLogged = 0;
+	std::uint64_t loggedPeerBytes = 0; ///< Of messages between nodes, at the last look at their queues.
+	std::uint64_t loggedSilentConnections = 0;
 	QTimer readyTimer;
 	QTimer drainTimer;
 	QTimer settingsTimer;
-	std::function<void()> stopped;
+	std::function<void()> onStopped;
 	std::string settingsText; ///< As read last.
 	std::atomic<bool> isReady{false};
-	std::atomic<bool> leaving{false};
-	bool refusedUnsent = false;
-	Micros drainBegan = 0;
-	Micros farewellAt = 0;
+	std::atomic<bool> draining{false};
+	bool unsentRefused = false;
+	Micros drainStartedAt = 0;
+	Micros flushStartedAt = 0;
 };
 
 } // namespace roadferry
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -20,62 +20,62 @@
 namespace
 {
 
-constexpr double kComeBackAccepted = 1.0 / 3; ///< Part of their time that clients wait when told to come back.
-constexpr double kComeBackEarliest = 0.5;     ///< Parts of that wait.
-constexpr double kComeBackLatest = 0.95;
-constexpr std::uint64_t kComeBackSteps = 1'000;
+constexpr double kMaxRetryAfterShare = 1.0 / 3; ///< Part of their time that clients wait when told to come back.
+constexpr double kRetryAfterMinFactor = 0.5;    ///< Parts of that wait.
+constexpr double kRetryAfterMaxFactor = 0.95;
+constexpr std::uint64_t kRetryAfterSteps = 1'000;
 /// How much sooner a request is refused for each step that it is less urgent, so that backlogs keep room for others.
-constexpr double kWaitLessByPriority = 0.5;
+constexpr double kSlackReductionPerPriority = 0.5;
 constexpr double kFirstEventSmoothing = 0.05;
-constexpr Micros kFirstEventGuess = 300 * kMillisecond; ///< Until one was measured.
-constexpr std::int64_t kLargeResult = 100'000;          ///< Bytes from which on it matters where a result lies.
+constexpr Micros kDefaultFirstEventTime = 300 * kMillisecond; ///< Until one was measured.
+constexpr std::int64_t kLargeResultBytes = 100'000;           ///< Bytes from which on it matters where a result lies.
 
 } // namespace
 
-void ForwardTraffic::measureFirstEvent(const Active& _active)
+void ForwardTraffic::recordFirstEventTime(const ActiveRequest& _active)
 {
 	const Micros first = _active.answer.times().firstAt;
-	if (first <= _active.attemptAt || _active.attempts != 1)
+	if (first <= _active.attemptStartedAt || _active.attempts != 1)
 	{
 		return;
 	}
-	const auto sample = static_cast<double>(first - _active.attemptAt);
-	double& time = this->firstEventTimes.try_emplace(_active.pool, kFirstEventGuess).first->second;
+	const auto sample = static_cast<double>(first - _active.attemptStartedAt);
+	double& time = this->firstEventTimes.try_emplace(_active.pool, kDefaultFirstEventTime).first->second;
 	time += kFirstEventSmoothing * (sample - time);
 }
 
 Micros ForwardTraffic::firstEventTime(const std::string& _pool) const
 {
 	const auto found = this->firstEventTimes.find(_pool);
-	return found == this->firstEventTimes.end() ? kFirstEventGuess : static_cast<Micros>(found->second);
+	return found == this->firstEventTimes.end() ? kDefaultFirstEventTime : static_cast<Micros>(found->second);
 }
 
 /// What a request needs of its pools to be in time. Its first pieces go out with it.
-AdmissionTerms ForwardTraffic::termsOf(const Active& _active) const
+AdmissionTerms ForwardTraffic::makeAdmissionTerms(const ActiveRequest& _active) const
 {
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
 	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
-	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
+	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kSlackReductionPerPriority * rank));
 	// One that comes with less time than its route gives has most likely been turned away before: it is served.
-	terms.refusable = _active.giveUpAt - _active.arrived > _active.route.timeLimit * 9 / 10;
+	terms.refusable = _active.deadline - _active.arrivedAt > _active.route.timeLimit * 9 / 10;
 	return terms;
 }
 
 /// When a request that was not let in should come back: spread over what its client accepts, so that those of one burst
 /// do not come back together, and most of them after it.
-Micros ForwardTraffic::comeBackAfter(const Active& _active)
+Micros ForwardTraffic::jitteredRetryAfter(const ActiveRequest& _active)
 {
-	const double latest = static_cast<double>(_active.giveUpAt - _active.arrived) * kComeBackAccepted;
-	const std::uint64_t draw = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kComeBackSteps;
-	const double part = static_cast<double>(draw) / static_cast<double>(kComeBackSteps);
-	return static_cast<Micros>(latest * (kComeBackEarliest + (kComeBackLatest - kComeBackEarliest) * part));
+	const double latest = static_cast<double>(_active.deadline - _active.arrivedAt) * kMaxRetryAfterShare;
+	const std::uint64_t draw = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kRetryAfterSteps;
+	const double part = static_cast<double>(draw) / static_cast<double>(kRetryAfterSteps);
+	return static_cast<Micros>(latest * (kRetryAfterMinFactor + (kRetryAfterMaxFactor - kRetryAfterMinFactor) * part));
 }
 
 /// Bytes that cross between a stage's results and those who work on them: each of their pieces fetches all results.
-std::int64_t ForwardTraffic::bytesOnward(const Active& _active, std::size_t _stage) const
+std::int64_t ForwardTraffic::downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const
 {
 	const std::vector<RouteStage>& stages = _active.route.stages;
 	const std::vector<std::int64_t>& counts = _active.request.pieceCounts;
@@ -91,31 +91,31 @@
 
 /// @returns Failure domain in which a stage's pieces should be made: where their inputs lie, if those are large, or
 /// where the request itself will go, if their results are; empty when it does not matter.
-std::string ForwardTraffic::domainFor(const Active& _active, std::size_t _stage) const
+std::string ForwardTraffic::preferredDomain(const ActiveRequest& _active, std::size_t _stage) const
 {
 	std::map<std::string, std::int64_t> bytesIn;
 	for (const std::size_t before : _active.route.stages[_stage].after)
 	{
 		for (const std::string& handle : _active.graph.handlesOf(before))
 		{
-			const auto domain = _active.domainOf.find(handle);
-			if (domain != _active.domainOf.end())
+			const auto domain = _active.resultDomains.find(handle);
+			if (domain != _active.resultDomains.end())
 			{
-				bytesIn[domain->second] += this->bytesOnward(_active, before);
+				bytesIn[domain->second] += this->downstreamBytes(_active, before);
 			}
 		}
 	}
 	const auto most =
 		std::max_element(bytesIn.begin(), bytesIn.end(),
 						 [](const auto& _left, const auto& _right) { return _left.second < _right.second; });
-	if (most != bytesIn.end() && most->second >= kLargeResult)
+	if (most != bytesIn.end() && most->second >= kLargeResultBytes)
 	{
 		return most->first;
 	}
-	return this->bytesOnward(_active, _stage) >= kLargeResult ? _active.homeDomain : std::string();
+	return this->downstreamBytes(_active, _stage) >= kLargeResultBytes ? _active.homeDomain : std::string();
 }
 
-PieceOrder ForwardTraffic::orderOf(const Active& _active, const PieceName& _piece) const
+PieceOrder ForwardTraffic::makeOrder(const ActiveRequest& _active, const PieceName& _piece) const
 {
 	const RouteStage& stage = _active.route.stages[_piece.stage];
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
@@ -126,22 +126,22 @@
 	order.name = _piece;
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
-	order.deadline = std::min(_active.stagesUntil - stages, _active.giveUpAt - after);
-	order.due = _active.arrived + _active.route.target - after;
+	order.deadline = std::min(_active.stagesDeadline - stages, _active.deadline - after);
+	order.due = _active.arrivedAt + _active.route.target - after;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
-	order.nearDomain = this->domainFor(_active, _piece.stage);
+	order.nearDomain = this->preferredDomain(_active, _piece.stage);
 	return order;
 }
 
-void ForwardTraffic::orderPieces(const ActivePointer& _active)
+void ForwardTraffic::orderPieces(const ActiveRequestPtr& _active)
 {
-	const bool first = !std::exchange(_active->admissionAsked, true);
-	std::optional<AdmissionTerms> terms = first ? std::optional(this->termsOf(*_active)) : std::nullopt;
+	const bool first = !std::exchange(_active->admissionRequested, true);
+	std::optional<AdmissionTerms> terms = first ? std::optional(this->makeAdmissionTerms(*_active)) : std::nullopt;
 	std::map<std::string, std::vector<PieceOrder>> byPool;
 	for (const PieceName& piece : _active->graph.takeReady())
 	{
-		PieceOrder order = this->orderOf(*_active, piece);
+		PieceOrder order = this->makeOrder(*_active, piece);
 		order.order = ++this->lastOrder;
 		_active->orders.insert(order.order);
 		this->pieceOrders.emplace(order.order, std::make_pair(_active->id, piece));
@@ -154,24 +154,24 @@
 				  {"pool", entry.first},
 				  {"pieces", entry.second.size()},
 				  {"first_stage", entry.second.front().name.stage},
-				  {"waited_ms", (monotonicNow() - _active->arrived) / kMillisecond}});
+				  {"waited_ms", (monotonicNow() - _active->arrivedAt) / kMillisecond}});
 		this->pieces.order(entry.first, entry.second, std::exchange(terms, std::nullopt));
 	}
 }
 
-void ForwardTraffic::pieceStarted(const PieceStarted& _started)
+void ForwardTraffic::onPieceStarted(const PieceStarted& _started)
 {
 	const auto found = this->pieceOrders.find(_started.order);
 	if (found == this->pieceOrders.end())
 	{
 		return;
 	}
-	const ActivePointer active = this->find(found->second.first);
+	const ActiveRequestPtr active = this->findActive(found->second.first);
 	active->graph.started(found->second.second);
 	this->pieces.free(active->graph.takeSpent());
 }
 
-void ForwardTraffic::pieceMade(const PieceMade& _made)
+void ForwardTraffic::onPieceMade(const PieceMade& _made)
 {
 	const auto found = this->pieceOrders.find(_made.order);
 	if (found == this->pieceOrders.end())
@@ -181,10 +181,10 @@
 	}
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
-	const ActivePointer active = this->find(request);
+	const ActiveRequestPtr active = this->findActive(request);
 	active->orders.erase(_made.order);
 	active->graph.made(piece, _made.handle);
-	active->domainOf[_made.handle] = _made.failureDomain;
+	active->resultDomains[_made.handle] = _made.failureDomain;
 	this->pieces.free(active->graph.takeSpent());
 	if (active->graph.complete())
 	{
@@ -194,7 +194,7 @@
 	this->orderPieces(active);
 }
 
-void ForwardTraffic::pieceFailed(const PieceFailed& _failed)
+void ForwardTraffic::onPieceFailed(const PieceFailed& _failed)
 {
 	const auto found = this->pieceOrders.find(_failed.order);
 	if (found == this->pieceOrders.end())
@@ -203,39 +203,39 @@
 	}
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
-	const ActivePointer active = this->find(request);
+	const ActiveRequestPtr active = this->findActive(request);
 	active->orders.erase(_failed.order);
 	logEvent("request", "piece_failed",
 			 {{"request", active->request.id},
 			  {"stage", piece.stage},
 			  {"piece", piece.piece},
 			  {"fault", std::string(nameOf(_failed.fault))}});
-	const bool inTime = monotonicNow() < active->arrived + active->route.target;
-	if (_failed.fault == PieceFault::InputGone && active->remakes < kRemakesMost && inTime)
+	const bool inTime = monotonicNow() < active->arrivedAt + active->route.target;
+	if (_failed.fault == PieceFault::InputGone && active->stageReruns < kMaxStageReruns && inTime)
 	{
-		this->remake(active);
+		this->rerunStages(active);
 		return;
 	}
 	if (_failed.fault == PieceFault::Crowded)
 	{
 		// Later, when the backlog has gone down, it can still be in time; now it would be late, and hold others up.
-		this->giveUp(active, Reason::WouldBeLate, comeBackAfter(*active));
+		this->giveUp(active, Reason::WouldBeLate, jitteredRetryAfter(*active));
 		return;
 	}
 	const bool late = _failed.fault == PieceFault::Late;
-	this->giveUp(active, late ? Reason::WouldBeLate : Reason::NoEndpoint, kRetrySoon);
+	this->giveUp(active, late ? Reason::WouldBeLate : Reason::NoEndpoint, kShortRetryAfter);
 }
 
 /// Makes all pieces again, after a result was lost.
-void ForwardTraffic::remake(const ActivePointer& _active)
+void ForwardTraffic::rerunStages(const ActiveRequestPtr& _active)
 {
-	_active->remakes += 1;
+	_active->stageReruns += 1;
 	_active->inputsFreed = false;
 	_active->submitted = false;
-	this->deadlines.erase({_active->stagesUntil, _active->id});
+	this->deadlines.erase({_active->stagesDeadline, _active->id});
 	if (_active->attempts > 0)
 	{
-		_active->stagesUntil = _active->giveUpAt; // Once it was sent, a refusal could no longer say that it was not.
+		_active->stagesDeadline = _active->deadline; // Once it was sent, a refusal could no longer say that it was not.
 	}
 	const std::vector<std::uint64_t> orders(_active->orders.begin(), _active->orders.end());
 	_active->orders.clear();
@@ -246,15 +246,15 @@
 	this->pieces.cancel(orders);
 	this->pieces.free(_active->graph.takeAll());
 	_active->graph = StageGraph(_active->route.stages, _active->request.pieceCounts);
-	this->deadlines.emplace(_active->stagesUntil, _active->id);
+	this->deadlines.emplace(_active->stagesDeadline, _active->id);
 	this->orderPieces(_active);
 }
 
 /// @returns The failure domain that holds most of the results, where they are large.
-std::string ForwardTraffic::domainOfResults(const Active& _active) const
+std::string ForwardTraffic::resultsDomain(const ActiveRequest& _active) const
 {
 	const bool large = std::any_of(_active.route.stages.begin(), _active.route.stages.end(),
-								   [](const RouteStage& _stage) { return _stage.resultBytes >= kLargeResult; });
+								   [](const RouteStage& _stage) { return _stage.resultBytes >= kLargeResultBytes; });
 	if (!large)
 	{
 		return {};
@@ -262,8 +262,8 @@
 	std::map<std::string, std::size_t> counts;
 	for (const std::string& handle : _active.graph.results())
 	{
-		const auto domain = _active.domainOf.find(handle);
-		if (domain != _active.domainOf.end())
+		const auto domain = _active.resultDomains.find(handle);
+		if (domain != _active.resultDomains.end())
 		{
 			counts[domain->second] += 1;
 		}
@@ -275,7 +275,7 @@
 }
 
 /// The endpoint has fetched its inputs: they need not take up room any longer.
-void ForwardTraffic::freeInputs(const ActivePointer& _active)
+void ForwardTraffic::freeInputs(const ActiveRequestPtr& _active)
 {
 	_active->inputsFreed = true;
 	this->pieces.free(_active->graph.takeAll());
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -23,17 +23,18 @@
 
 constexpr Micros kTickPeriod = 20 * kMillisecond;
 constexpr Micros kConnectTimeout = 400 * kMillisecond; ///< Across failure domains a connection opens in 2 ms.
-constexpr Micros kCallSlack = 200 * kMillisecond;      ///< The dispatcher gives up first; this is for when it does not.
-constexpr Micros kRetryElsewhere = 300 * kMillisecond; ///< Advice of a node that does not serve: another one will.
-constexpr Micros kDefaultPatience = 60 * kSecond;      ///< Of clients that do not say how long they wait.
+constexpr Micros kCallTimeoutSlack =
+	200 * kMillisecond; ///< The dispatcher gives up first; this is for when it does not.
+constexpr Micros kOtherNodeRetryAfter = 300 * kMillisecond; ///< Advice of a node that does not serve: another one will.
+constexpr Micros kDefaultClientTimeout = 60 * kSecond;      ///< Of clients that do not say how long they wait.
 /// Until an endpoint that takes a request at once has fetched its inputs: 1 ms for each 800 kB, and the way there.
-constexpr Micros kFetchTime = 150 * kMillisecond;
-constexpr Micros kLateWorthALine = 300 * kMillisecond; ///< Of a tick of this thread.
+constexpr Micros kInputFetchTime = 150 * kMillisecond;
+constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Of a tick of this thread.
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kIdleShare = 0.5; ///< Part of an endpoint's connections that may rest at all nodes together.
+constexpr double kIdleConnectionShare = 0.5; ///< Part of an endpoint's connections that may rest at all nodes together.
 /// Part of a client's patience after which a request whose stages are not done is refused: what is left must be enough
 /// for another try, and a client that is kept for longer could have gone elsewhere.
-constexpr double kStagesShare = 0.45;
+constexpr double kStagesTimeShare = 0.45;
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kBadRequest = 400;
@@ -42,7 +43,7 @@
 constexpr unsigned kGatewayTimeout = 504;
 
 /// @returns Hash of the parts of a prompt that other requests may share, 0 when there are none.
-std::uint64_t sharedPrefix(const std::vector<PromptPart>& _prompt)
+std::uint64_t hashSharedPrefix(const std::vector<PromptPart>& _prompt)
 {
 	std::uint64_t hash = 0;
 	for (std::size_t index = 0; index + 1 < _prompt.size(); ++index)
@@ -65,15 +66,15 @@
 
 } // namespace
 
-ForwardTraffic::ForwardTraffic(IoPool& _pool, HttpClient& _client, const Wire& _wire, Metrics& _metrics,
+ForwardTraffic::ForwardTraffic(IoPool& _pool, HttpClient& _client, const WireFormat& _wire, Metrics& _metrics,
 							   const ForwardSettings& _settings,
 							   std::function<void(const std::string&, const PieceMessage&)> _send)
 	: pool(_pool), client(_client), wire(_wire), metrics(_metrics), dispatcher(_settings.dispatcher),
 	  lease(_settings.lease),
 	  pieces(_client, _wire, PieceScheduler(_settings.self, _settings.pieces),
-			 PieceHandlers{[this](const PieceStarted& _started) { this->pieceStarted(_started); },
-						   [this](const PieceMade& _made) { this->pieceMade(_made); },
-						   [this](const PieceFailed& _failed) { this->pieceFailed(_failed); }, std::move(_send)})
+			 PieceHandlers{[this](const PieceStarted& _started) { this->onPieceStarted(_started); },
+						   [this](const PieceMade& _made) { this->onPieceMade(_made); },
+						   [this](const PieceFailed& _failed) { this->onPieceFailed(_failed); }, std::move(_send)})
 {
 }
 
@@ -99,7 +100,7 @@
 	this->pool.post(0,
 					[this, _endpoints, _position]
 					{
-						this->listing = _position;
+						this->listingPosition = _position;
 						this->dispatcher.setEndpoints(_endpoints);
 						this->pieces.setEndpoints(_endpoints, _position);
 					});
@@ -115,7 +116,7 @@
 	this->pool.post(0,
 					[this, _members]
 					{
-						this->nodes = std::max<std::size_t>(1, _members.size());
+						this->liveNodes = std::max<std::size_t>(1, _members.size());
 						this->dispatcher.setNodes(_members.size());
 						this->pieces.setMembers(_members);
 					});
@@ -142,7 +143,7 @@
 					[this, _refuseFrom, _end]
 					{
 						this->refuseFrom = _refuseFrom;
-						this->stopEnd = _end;
+						this->stopEndsAt = _end;
 					});
 }
 
@@ -151,21 +152,21 @@
 	this->pool.post(0,
 					[this]
 					{
-						std::vector<ActivePointer> unsent;
-						for (const auto& entry : this->actives)
+						std::vector<ActiveRequestPtr> unsent;
+						for (const auto& entry : this->activeRequests)
 						{
 							if (entry.second->attempts == 0)
 							{
 								unsent.push_back(entry.second);
 							}
 						}
-						for (const ActivePointer& active : unsent)
+						for (const ActiveRequestPtr& active : unsent)
 						{
 							if (std::exchange(active->submitted, false))
 							{
 								this->perform(this->dispatcher.cancel(active->id, monotonicNow()));
 							}
-							this->giveUp(active, Reason::Draining, kRetrySoon);
+							this->giveUp(active, Reason::Draining, kShortRetryAfter);
 						}
 					});
 }
@@ -187,13 +188,13 @@
 }
 
 /// Age of the routes that a request is handled by; -1 while it is not known.
-LogField ForwardTraffic::routesAge(Micros _now) const
+LogField ForwardTraffic::routesAgeField(Micros _now) const
 {
 	return {"routes_age_ms", this->knowledge.routesAt == 0 ? -1 : (_now - this->knowledge.routesAt) / kMillisecond};
 }
 
 /// Age of the listing that an endpoint is chosen from; -1 while it is not known.
-LogField ForwardTraffic::listingAge(Micros _now) const
+LogField ForwardTraffic::listingAgeField(Micros _now) const
 {
 	return {"listing_age_ms", this->knowledge.listingAt == 0 ? -1 : (_now - this->knowledge.listingAt) / kMillisecond};
 }
@@ -208,9 +209,9 @@
 			  {"reason", _code},
 			  {"target", _target},
 			  {"routes_version", this->plan == nullptr ? 0 : this->plan->data().version},
-			  this->routesAge(monotonicNow())});
+			  this->routesAgeField(monotonicNow())});
 	ForwardAnswer(this->wire, _reply, {}, false, false)
-		.refuse(_status, _status == kUnavailable ? kRetryElsewhere : 0, _code, _message);
+		.refuse(_status, _status == kUnavailable ? kOtherNodeRetryAfter : 0, _code, _message);
 }
 
 bool ForwardTraffic::mayHandleNow() const
@@ -226,7 +227,7 @@
 		return;
 	}
 	const std::string target = _request.target;
-	absl::StatusOr<ForwardRequest> decoded = this->wire.readRequest(std::move(_request));
+	absl::StatusOr<ForwardRequest> decoded = this->wire.parseRequest(std::move(_request));
 	if (!decoded.ok())
 	{
 		this->refuse({}, target, _reply, kBadRequest, "bad_request", std::string(decoded.status().message()));
@@ -252,45 +253,45 @@
 		return;
 	}
 	const Micros now = monotonicNow();
-	const Micros limit = std::min(decoded->patience.value_or(kDefaultPatience), route->timeLimit);
-	if (this->refuseFrom > 0 && now >= this->refuseFrom && now + limit > this->stopEnd)
+	const Micros limit = std::min(decoded->clientTimeout.value_or(kDefaultClientTimeout), route->timeLimit);
+	if (this->refuseFrom > 0 && now >= this->refuseFrom && now + limit > this->stopEndsAt)
 	{
 		this->refuse(decoded->id, target, _reply, kUnavailable, std::string(nameOf(Reason::Draining)),
 					 "this node is about to end");
 		return;
 	}
-	auto active = std::make_shared<Active>(std::move(*decoded), this->wire, _reply, *route);
+	auto active = std::make_shared<ActiveRequest>(std::move(*decoded), this->wire, _reply, *route);
 	active->id = ++this->lastRequest;
 	active->plan = this->plan;
 	active->workspace = workspace == nullptr ? std::string() : workspace->name;
 	active->priority = workspace != nullptr ? workspace->priority.value_or(route->priority) : route->priority;
-	active->arrived = now;
-	active->giveUpAt = now + limit;
+	active->arrivedAt = now;
+	active->deadline = now + limit;
 	const Micros patience = route->eventPatience > 0 ? std::min(limit, route->eventPatience) : limit;
-	active->stagesUntil = now + static_cast<Micros>(kStagesShare * static_cast<double>(patience));
-	this->begin(active);
+	active->stagesDeadline = now + static_cast<Micros>(kStagesTimeShare * static_cast<double>(patience));
+	this->beginRequest(active);
 }
 
-void ForwardTraffic::begin(const ActivePointer& _active)
+void ForwardTraffic::beginRequest(const ActiveRequestPtr& _active)
 {
-	this->actives.emplace(_active->id, _active);
-	this->activeCount = this->actives.size();
-	this->deadlines.emplace(_active->stagesUntil, _active->id);
+	this->activeRequests.emplace(_active->id, _active);
+	this->activeCount = this->activeRequests.size();
+	this->deadlines.emplace(_active->stagesDeadline, _active->id);
 	logEvent("request", "admitted",
 			 {{"request", _active->request.id},
 			  {"route", _active->route.name},
 			  {"workspace", _active->workspace},
 			  {"routes_version", _active->plan->data().version},
-			  this->routesAge(_active->arrived),
-			  {"patience_ms", (_active->giveUpAt - _active->arrived) / kMillisecond}});
+			  this->routesAgeField(_active->arrivedAt),
+			  {"patience_ms", (_active->deadline - _active->arrivedAt) / kMillisecond}});
 	_active->pool = drawPool(_active->route, XXH3_64bits(_active->request.id.data(), _active->request.id.size()));
-	_active->prefix = sharedPrefix(_active->request.prompt);
-	if (_active->prefix != 0)
+	_active->prefixHash = hashSharedPrefix(_active->request.prompt);
+	if (_active->prefixHash != 0)
 	{
-		_active->homeDomain = this->dispatcher.homeDomain(_active->pool, _active->prefix, _active->arrived);
+		_active->homeDomain = this->dispatcher.homeDomain(_active->pool, _active->prefixHash, _active->arrivedAt);
 	}
-	_active->answer.reply()->onGone([this, id = _active->id] { this->gone(id); });
-	if (this->find(_active->id) == nullptr)
+	_active->answer.reply()->onGone([this, id = _active->id] { this->onClientGone(id); });
+	if (this->findActive(_active->id) == nullptr)
 	{
 		return; // The client had left already.
 	}
@@ -302,32 +303,32 @@
 	this->orderPieces(_active);
 }
 
-ForwardTraffic::ActivePointer ForwardTraffic::find(std::uint64_t _id)
+ForwardTraffic::ActiveRequestPtr ForwardTraffic::findActive(std::uint64_t _id)
 {
-	const auto found = this->actives.find(_id);
-	return found == this->actives.end() ? nullptr : found->second;
+	const auto found = this->activeRequests.find(_id);
+	return found == this->activeRequests.end() ? nullptr : found->second;
 }
 
-void ForwardTraffic::submit(const ActivePointer& _active)
+void ForwardTraffic::submit(const ActiveRequestPtr& _active)
 {
 	if (!this->mayHandleNow())
 	{
-		this->giveUp(_active, Reason::Stale, kRetryElsewhere);
+		this->giveUp(_active, Reason::Stale, kOtherNodeRetryAfter);
 		return;
 	}
 	_active->submitted = true;
-	this->deadlines.erase({_active->stagesUntil, _active->id});
+	this->deadlines.erase({_active->stagesDeadline, _active->id});
 	const Route& route = _active->route;
 	RequestSpec spec{_active->id,
 					 _active->workspace,
 					 route.name,
-					 _active->giveUpAt,
+					 _active->deadline,
 					 route.repeatable,
 					 _active->request.promptTokens,
 					 _active->request.maxTokens,
-					 _active->prefix};
+					 _active->prefixHash};
 	spec.repeat = _active->attempts > 0;
-	spec.nearDomain = _active->prefix == 0 ? this->domainOfResults(*_active) : std::string();
+	spec.nearDomain = _active->prefixHash == 0 ? this->resultsDomain(*_active) : std::string();
 	PipelineRow pipeline;
 	pipeline.name = route.name;
 	pipeline.workspace = _active->workspace;
@@ -352,7 +353,7 @@
 				[&](const CancelAttempt& _cancel) { this->cancelAttempt(_cancel); },
 				[&](const FinishRequest& _finish)
 				{
-					const ActivePointer active = this->find(_finish.request);
+					const ActiveRequestPtr active = this->findActive(_finish.request);
 					if (active != nullptr && active->submitted)
 					{
 						this->finish(active, _finish.outcome);
@@ -363,46 +364,46 @@
 	}
 }
 
-std::size_t idleConnectionsOf(const PoolSpec* _pool, std::size_t _nodes)
+std::size_t maxIdleConnections(const PoolSpec* _pool, std::size_t _nodes)
 {
 	if (_pool == nullptr || _pool->connections <= 0)
 	{
 		return CallSpec{}.keepAtMost;
 	}
-	const double share = kIdleShare * static_cast<double>(_pool->connections) / static_cast<double>(_nodes);
+	const double share = kIdleConnectionShare * static_cast<double>(_pool->connections) / static_cast<double>(_nodes);
 	return std::min(CallSpec{}.keepAtMost, static_cast<std::size_t>(share));
 }
 
 void ForwardTraffic::startAttempt(const StartAttempt& _attempt)
 {
-	const ActivePointer active = this->find(_attempt.request);
+	const ActiveRequestPtr active = this->findActive(_attempt.request);
 	const Micros now = monotonicNow();
 	active->attempts += 1;
 	this->attemptCount += 1;
 	this->retryCount += active->attempts > 1 ? 1 : 0;
-	active->attempt = _attempt.attempt;
-	active->attemptAt = now;
+	active->currentAttempt = _attempt.attempt;
+	active->attemptStartedAt = now;
 	active->endpoint = _attempt.endpoint;
 	active->answer.beginAttempt();
-	ForwardAttempt attempt{_attempt.endpoint, active->workspace, active->giveUpAt - now, active->graph.results(),
-						   active->answer.lastEvent()};
+	ForwardAttempt attempt{_attempt.endpoint, active->workspace, active->deadline - now, active->graph.results(),
+						   active->answer.lastEventId()};
 	CallSpec spec;
 	spec.address = _attempt.address;
-	spec.request = this->wire.endpointRequest(active->request, attempt);
-	spec.timeout = active->giveUpAt - now + kCallSlack;
+	spec.request = this->wire.makeEndpointRequest(active->request, attempt);
+	spec.timeout = active->deadline - now + kCallTimeoutSlack;
 	spec.connectTimeout = kConnectTimeout;
 	spec.fresh = _attempt.once;
 	spec.noticeSilence = active->route.repeatable;
-	spec.keepAtMost = idleConnectionsOf(active->plan->pool(active->pool), this->nodes);
+	spec.keepAtMost = maxIdleConnections(active->plan->pool(active->pool), this->liveNodes);
 	CallHandlers handlers;
 	handlers.onHead = [active](unsigned _status, const HttpHeaders& _headers)
-	{ return active->answer.takeHead(_status, _headers); };
+	{ return active->answer.receiveHead(_status, _headers); };
 	if (active->route.streaming)
 	{
 		handlers.onData = [this, active](const std::string& _bytes)
 		{
-			active->answer.takeData(_bytes);
-			if (active->answer.started())
+			active->answer.receiveData(_bytes);
+			if (active->answer.hasStarted())
 			{
 				this->freeInputs(active);
 			}
@@ -414,17 +415,17 @@
 			 {{"request", active->request.id},
 			  {"attempt", active->attempts},
 			  {"endpoint", _attempt.endpoint},
-			  {"listing", this->listing},
-			  this->listingAge(now),
-			  {"waited_ms", (now - active->arrived) / kMillisecond},
-			  {"left_ms", (active->giveUpAt - now) / kMillisecond}});
+			  {"listing", this->listingPosition},
+			  this->listingAgeField(now),
+			  {"waited_ms", (now - active->arrivedAt) / kMillisecond},
+			  {"left_ms", (active->deadline - now) / kMillisecond}});
 	active->call = this->client.call(0, std::move(spec), std::move(handlers));
 	if (!attempt.inputs.empty())
 	{
-		this->pool.after(0, kFetchTime,
+		this->pool.after(0, kInputFetchTime,
 						 [this, active, number = _attempt.attempt]
 						 {
-							 if (active->attempt == number)
+							 if (active->currentAttempt == number)
 							 {
 								 this->freeInputs(active);
 							 }
@@ -432,7 +433,7 @@
 	}
 }
 
-void ForwardTraffic::attemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const CallEnd& _end)
+void ForwardTraffic::attemptEnded(const ActiveRequestPtr& _active, std::uint64_t _attempt, const CallEnd& _end)
 {
 	const AttemptEnd end = _active->answer.endAttempt(_end);
 	const std::optional<ForwardHead>& head = _active->answer.head();
@@ -450,7 +451,7 @@
 	{
 		this->dispatcher.reportLoad(_active->endpoint, *head->load);
 	}
-	_active->attempt = 0;
+	_active->currentAttempt = 0;
 	_active->call.reset();
 	const bool inputsNeeded = !_active->route.stages.empty() && !_active->graph.results().empty();
 	const bool again = !answered && inputsNeeded && ((head && head->inputGone) || _active->inputsFreed);
@@ -460,81 +461,82 @@
 		return;
 	}
 	const bool mayRepeat = _active->route.repeatable || (head && head->notRun);
-	const bool possible = mayRepeat && _active->attempts < _active->route.attempts && _active->remakes < kRemakesMost;
+	const bool possible =
+		mayRepeat && _active->attempts < _active->route.attempts && _active->stageReruns < kMaxStageReruns;
 	_active->submitted = !possible;
 	this->perform(possible ? this->dispatcher.cancel(_active->id, monotonicNow())
 						   : this->dispatcher.attemptEnded(_attempt, end, monotonicNow()));
 	if (possible)
 	{
-		this->remake(_active);
+		this->rerunStages(_active);
 	}
 }
 
 void ForwardTraffic::cancelAttempt(const CancelAttempt& _cancel)
 {
-	const ActivePointer active = this->find(_cancel.request);
-	if (active != nullptr && active->call != nullptr && active->attempt == _cancel.attempt)
+	const ActiveRequestPtr active = this->findActive(_cancel.request);
+	if (active != nullptr && active->call != nullptr && active->currentAttempt == _cancel.attempt)
 	{
 		active->call->cancel();
 		active->call.reset();
-		active->attempt = 0;
+		active->currentAttempt = 0;
 	}
 }
 
-void ForwardTraffic::finish(const ActivePointer& _active, const Outcome& _outcome)
+void ForwardTraffic::finish(const ActiveRequestPtr& _active, const Outcome& _outcome)
 {
 	if (_outcome.verdict == Verdict::Answered)
 	{
-		this->measureFirstEvent(*_active);
+		this->recordFirstEventTime(*_active);
 		_active->answer.deliver();
-		this->release(_active, _outcome, "answered");
+		this->endRequest(_active, _outcome, "answered");
 		return;
 	}
-	if (_active->answer.started())
+	if (_active->answer.hasStarted())
 	{
-		this->release(_active, _outcome, "stream_broken_off");
+		this->endRequest(_active, _outcome, "stream_broken_off");
 		_active->answer.abort();
 		return;
 	}
-	if (_active->answer.hasFailure() && _outcome.reason != Reason::Cancelled)
+	if (_active->answer.hasErrorResponse() && _outcome.reason != Reason::Cancelled)
 	{
 		_active->answer.deliver();
-		this->release(_active, _outcome, "failure_passed_on");
+		this->endRequest(_active, _outcome, "failure_passed_on");
 		return;
 	}
 	const std::string code(nameOf(_outcome.reason));
 	if (_outcome.verdict == Verdict::NotRun)
 	{
-		_active->answer.refuse(kUnavailable, std::max(kRetrySoon, _outcome.retryAfter), code,
+		_active->answer.refuse(kUnavailable, std::max(kShortRetryAfter, _outcome.retryAfter), code,
 							   "the request has not run");
-		this->release(_active, _outcome, "refused");
+		this->endRequest(_active, _outcome, "refused");
 		return;
 	}
 	const bool late = _outcome.reason == Reason::DeadlinePassed;
 	_active->answer.refuse(late ? kGatewayTimeout : kBadGateway, 0, code, "the request may have run");
-	this->release(_active, _outcome, "unknown");
+	this->endRequest(_active, _outcome, "unknown");
 }
 
 /// Ends a request that was not sent to an endpoint of its own.
-void ForwardTraffic::giveUp(const ActivePointer& _active, Reason _reason, Micros _retryAfter)
+void ForwardTraffic::giveUp(const ActiveRequestPtr& _active, Reason _reason, Micros _retryAfter)
 {
 	const bool sent = _active->attempts > 0;
 	Outcome outcome{sent ? Verdict::Unknown : Verdict::NotRun, _reason, true, _retryAfter, {}};
 	this->finish(_active, outcome);
 }
 
-void ForwardTraffic::release(const ActivePointer& _active, const Outcome& _outcome, const std::string& _how)
+void ForwardTraffic::endRequest(const ActiveRequestPtr& _active, const Outcome& _outcome, const std::string& _event)
 {
-	const Micros took = monotonicNow() - _active->arrived;
+	const Micros took = monotonicNow() - _active->arrivedAt;
 	const std::vector<std::uint64_t> orders(_active->orders.begin(), _active->orders.end());
 	for (const std::uint64_t order : orders)
 	{
 		this->pieceOrders.erase(order);
 	}
 	_active->orders.clear();
-	this->deadlines.erase({_active->stagesUntil, _active->id});
-	this->actives.erase(_active->id);
-	this->activeCount = this->actives.size();
+	this->deadlines.erase({_active->stagesDeadline, _active->id});
+	this->activeRequests.erase(_active->id);
+	this->activeCount = this->activeRequests.size();
 	if (!orders.empty())
 	{
 		this->pieces.cancel(orders);
@@ -543,7 +545,7 @@
 	this->metrics.requestEnded(_active->route.streaming ? "streaming" : "plain", _outcome,
 							   static_cast<double>(took) / kMicrosPerSecond);
 	const ForwardAnswer::StreamTimes& times = _active->answer.times();
-	logEvent("request", _how,
+	logEvent("request", _event,
 			 {{"request", _active->request.id},
 			  {"route", _active->route.name},
 			  {"verdict", std::string(nameOf(_outcome.verdict))},
@@ -552,13 +554,13 @@
 			  {"retry_after_ms", _outcome.retryAfter / kMillisecond},
 			  {"took_ms", took / kMillisecond},
 			  {"events", times.events},
-			  {"first_event_ms", times.events == 0 ? -1 : (times.firstAt - _active->arrived) / kMillisecond},
+			  {"first_event_ms", times.events == 0 ? -1 : (times.firstAt - _active->arrivedAt) / kMillisecond},
 			  {"longest_pause_ms", times.longestPause / kMillisecond}});
 }
 
-void ForwardTraffic::gone(std::uint64_t _id)
+void ForwardTraffic::onClientGone(std::uint64_t _id)
 {
-	const ActivePointer active = this->find(_id);
+	const ActiveRequestPtr active = this->findActive(_id);
 	if (active == nullptr)
 	{
 		return;
@@ -568,15 +570,15 @@
 	{
 		this->perform(this->dispatcher.cancel(_id, monotonicNow()));
 	}
-	this->release(active, Outcome{Verdict::Unknown, Reason::Cancelled, false, 0, {}}, "client_left");
+	this->endRequest(active, Outcome{Verdict::Unknown, Reason::Cancelled, false, 0, {}}, "client_left");
 }
 
 /// Says so when this thread does not get a processor.
-void ForwardTraffic::noteLateness(Micros _now)
+void ForwardTraffic::logLateTick(Micros _now)
 {
-	const Micros late = this->tickedAt == 0 ? 0 : _now - this->tickedAt - kTickPeriod;
-	this->tickedAt = _now;
-	if (late >= kLateWorthALine)
+	const Micros late = this->lastTickAt == 0 ? 0 : _now - this->lastTickAt - kTickPeriod;
+	this->lastTickAt = _now;
+	if (late >= kLateTickLogThreshold)
 	{
 		logEvent("request", "thread_late", {{"late_ms", late / kMillisecond}});
 	}
@@ -585,12 +587,12 @@
 void ForwardTraffic::tick()
 {
 	const Micros now = monotonicNow();
-	this->noteLateness(now);
+	this->logLateTick(now);
 	this->pieces.tick();
 	while (!this->deadlines.empty() && this->deadlines.begin()->first <= now)
 	{
-		const ActivePointer active = this->find(this->deadlines.begin()->second);
-		this->giveUp(active, Reason::DeadlinePassed, kRetrySoon);
+		const ActiveRequestPtr active = this->findActive(this->deadlines.begin()->second);
+		this->giveUp(active, Reason::DeadlinePassed, kShortRetryAfter);
 	}
 	this->perform(this->dispatcher.tick(now));
 }
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -34,14 +34,14 @@
 /// @param[in] _pool Pool of the endpoint, null when it is not known.
 /// @param[in] _nodes Live nodes, at least one.
 /// @returns Idle connections to one endpoint that a node may keep.
-std::size_t idleConnectionsOf(const PoolSpec* _pool, std::size_t _nodes);
+std::size_t maxIdleConnections(const PoolSpec* _pool, std::size_t _nodes);
 
 /// All forwarded requests of this node. Everything runs on thread 0 of the pool; functions that say so may be called
 /// from any thread.
 class ForwardTraffic
 {
 public:
-	ForwardTraffic(IoPool& _pool, HttpClient& _client, const Wire& _wire, Metrics& _metrics,
+	ForwardTraffic(IoPool& _pool, HttpClient& _client, const WireFormat& _wire, Metrics& _metrics,
 				   const ForwardSettings& _settings,
 				   std::function<void(const std::string&, const PieceMessage&)> _send);
 	~ForwardTraffic();
@@ -78,60 +78,60 @@
 	[[nodiscard]] bool mayHandleNow() const;
 
 private:
-	struct Active;
-	using ActivePointer = std::shared_ptr<Active>;
-
-	void begin(const ActivePointer& _active);
-	ActivePointer find(std::uint64_t _id);
-	void orderPieces(const ActivePointer& _active);
-	[[nodiscard]] PieceOrder orderOf(const Active& _active, const PieceName& _piece) const;
-	[[nodiscard]] std::int64_t bytesOnward(const Active& _active, std::size_t _stage) const;
-	[[nodiscard]] std::string domainFor(const Active& _active, std::size_t _stage) const;
-	void pieceStarted(const PieceStarted& _started);
-	void pieceMade(const PieceMade& _made);
-	void pieceFailed(const PieceFailed& _failed);
-	void remake(const ActivePointer& _active);
-	void measureFirstEvent(const Active& _active);
+	struct ActiveRequest;
+	using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
+
+	void beginRequest(const ActiveRequestPtr& _active);
+	ActiveRequestPtr findActive(std::uint64_t _id);
+	void orderPieces(const ActiveRequestPtr& _active);
+	[[nodiscard]] PieceOrder makeOrder(const ActiveRequest& _active, const PieceName& _piece) const;
+	[[nodiscard]] std::int64_t downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const;
+	[[nodiscard]] std::string preferredDomain(const ActiveRequest& _active, std::size_t _stage) const;
+	void onPieceStarted(const PieceStarted& _started);
+	void onPieceMade(const PieceMade& _made);
+	void onPieceFailed(const PieceFailed& _failed);
+	void rerunStages(const ActiveRequestPtr& _active);
+	void recordFirstEventTime(const ActiveRequest& _active);
 	[[nodiscard]] Micros firstEventTime(const std::string& _pool) const;
-	[[nodiscard]] AdmissionTerms termsOf(const Active& _active) const;
-	[[nodiscard]] static Micros comeBackAfter(const Active& _active);
-	void freeInputs(const ActivePointer& _active);
-	void submit(const ActivePointer& _active);
-	[[nodiscard]] std::string domainOfResults(const Active& _active) const;
+	[[nodiscard]] AdmissionTerms makeAdmissionTerms(const ActiveRequest& _active) const;
+	[[nodiscard]] static Micros jitteredRetryAfter(const ActiveRequest& _active);
+	void freeInputs(const ActiveRequestPtr& _active);
+	void submit(const ActiveRequestPtr& _active);
+	[[nodiscard]] std::string resultsDomain(const ActiveRequest& _active) const;
 	void perform(const Actions& _actions);
 	void startAttempt(const StartAttempt& _attempt);
-	void attemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const CallEnd& _end);
+	void attemptEnded(const ActiveRequestPtr& _active, std::uint64_t _attempt, const CallEnd& _end);
 	void cancelAttempt(const CancelAttempt& _cancel);
-	void finish(const ActivePointer& _active, const Outcome& _outcome);
-	void giveUp(const ActivePointer& _active, Reason _reason, Micros _retryAfter);
-	void release(const ActivePointer& _active, const Outcome& _outcome, const std::string& _how);
-	void gone(std::uint64_t _id);
+	void finish(const ActiveRequestPtr& _active, const Outcome& _outcome);
+	void giveUp(const ActiveRequestPtr& _active, Reason _reason, Micros _retryAfter);
+	void endRequest(const ActiveRequestPtr& _active, const Outcome& _outcome, const std::string& _event);
+	void onClientGone(std::uint64_t _id);
 	void refuse(const std::string& _id, const std::string& _target, const std::shared_ptr<HttpReply>& _reply,
 				unsigned _status, const std::string& _code, const std::string& _message);
-	[[nodiscard]] LogField routesAge(Micros _now) const;
-	[[nodiscard]] LogField listingAge(Micros _now) const;
-	void noteLateness(Micros _now);
+	[[nodiscard]] LogField routesAgeField(Micros _now) const;
+	[[nodiscard]] LogField listingAgeField(Micros _now) const;
+	void logLateTick(Micros _now);
 	void tick();
 
 	IoPool& pool;
 	HttpClient& client;
-	const Wire& wire;
+	const WireFormat& wire;
 	Metrics& metrics;
 	Dispatcher dispatcher;
 	Micros lease; ///< How old routes and endpoints may be that decide about a request.
 	PieceRunner pieces;
 	std::shared_ptr<const RoutePlan> plan;
-	std::unordered_map<std::uint64_t, ActivePointer> actives;
+	std::unordered_map<std::uint64_t, ActiveRequestPtr> activeRequests;
 	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceName>>
 		pieceOrders;                                      ///< Request and piece, by order.
 	std::set<std::pair<Micros, std::uint64_t>> deadlines; ///< Of requests whose pieces are being made.
 	std::map<std::string, double> firstEventTimes; ///< Microseconds from sending to a stream's first event, by pool.
-	std::size_t nodes = 1;                         ///< Live nodes, this one among them.
+	std::size_t liveNodes = 1;                     ///< Live nodes, this one among them.
 	Micros refuseFrom = 0;                         ///< Of a planned stop, 0 for none.
-	Micros stopEnd = 0;
-	std::uint64_t listing = 0; ///< Position of the listing in use.
-	FeedKnowledge knowledge;   ///< How current routes and endpoints are.
-	Micros tickedAt = 0;
+	Micros stopEndsAt = 0;
+	std::uint64_t listingPosition = 0; ///< Position of the listing in use.
+	FeedKnowledge knowledge;           ///< How current routes and endpoints are.
+	Micros lastTickAt = 0;
 	std::uint64_t lastRequest = 0;
 	std::uint64_t lastOrder = 0;
 	std::atomic<std::size_t> activeCount{0};
--- a/src/forward_types.h
+++ b/src/forward_types.h
@@ -34,7 +34,7 @@
 	HttpHeaders headers; ///< What goes on to the endpoint unchanged; neither credentials nor what this system sets.
 	std::string body;
 	std::string credential;                ///< Empty when none was sent.
-	std::optional<Micros> patience;        ///< How long the client waits for the answer.
+	std::optional<Micros> clientTimeout;   ///< How long the client waits for the answer.
 	std::vector<std::int64_t> pieceCounts; ///< Pieces of each stage of its route.
 	std::string pieceKey;
 	std::vector<PromptPart> prompt; ///< In order; the last one is the request's own.
@@ -48,19 +48,19 @@
 	std::string endpoint; ///< Id of the one start of the endpoint that may run it.
 	std::string workspace;
 	Micros timeLeft = 0;
-	std::vector<std::string> inputs;        ///< Results of the stages.
-	std::optional<std::uint64_t> lastEvent; ///< Number of the stream's last event that the client has.
+	std::vector<std::string> inputs;          ///< Results of the stages.
+	std::optional<std::uint64_t> lastEventId; ///< Number of the stream's last event that the client has.
 };
 
 /// What the head of an endpoint's response says.
 struct ForwardHead
 {
 	unsigned status = 0;
-	std::string requestId;  ///< Which request it answers; empty when it does not say.
-	bool notRun = false;    ///< The endpoint did not run the request, and never will.
-	bool inputGone = false; ///< It did not, since a result of a stage is gone.
-	bool authentic = false; ///< Carries the endpoint's mark under its answer.
-	bool encoded = false;   ///< The body is not what the endpoint made.
+	std::string requestId;       ///< Which request it answers; empty when it does not say.
+	bool notRun = false;         ///< The endpoint did not run the request, and never will.
+	bool inputGone = false;      ///< It did not, since a result of a stage is gone.
+	bool hasSignature = false;   ///< Carries the endpoint's mark under its answer.
+	bool contentEncoded = false; ///< The body is not what the endpoint made.
 	std::optional<LoadReport> load;
 	HttpHeaders headers; ///< What goes back to the client.
 };
--- a/src/piece_runner.cpp
+++ b/src/piece_runner.cpp
@@ -79,7 +79,8 @@
 
 } // namespace
 
-PieceRunner::PieceRunner(HttpClient& _client, const Wire& _wire, PieceScheduler _scheduler, PieceHandlers _handlers)
+PieceRunner::PieceRunner(HttpClient& _client, const WireFormat& _wire, PieceScheduler _scheduler,
+						 PieceHandlers _handlers)
 	: client(_client), wire(_wire), scheduler(std::move(_scheduler)), handlers(std::move(_handlers))
 {
 }
@@ -120,7 +121,7 @@
 /// A result that nobody wants is to be dropped by the endpoint that keeps it.
 void PieceRunner::freeAt(const std::string& _handle)
 {
-	const std::string keeper = this->wire.keeperOf(_handle);
+	const std::string keeper = this->wire.resultAddress(_handle);
 	if (!keeper.empty())
 	{
 		this->frees[keeper].push_back(_handle);
@@ -172,7 +173,7 @@
 	logBatch(_batch, this->listing, now);
 	CallSpec spec;
 	spec.address = _batch.endpoint.address;
-	spec.request = this->wire.batchRequest(_batch, now);
+	spec.request = this->wire.makeBatchRequest(_batch, now);
 	spec.timeout =
 		_batch.giveUpAt - now + kConnectTimeout; // The scheduler gives up first; this is for when it does not.
 	spec.connectTimeout = kConnectTimeout;
@@ -182,7 +183,7 @@
 				   pool = _batch.pool, now](const CallEnd& _end)
 	{
 		this->calls.erase(batch);
-		const BatchEnd end = this->wire.readBatch(_end, size);
+		const BatchEnd end = this->wire.parseBatchResponse(_end, size);
 		logEvent("pieces", "batch_ended",
 				 {{"batch", batch},
 				  {"pool", pool},
@@ -217,7 +218,7 @@
 	{
 		CallSpec spec;
 		spec.address = entry.first;
-		spec.request = this->wire.freeRequest(entry.second);
+		spec.request = this->wire.makeFreeRequest(entry.second);
 		spec.timeout = kFreeTimeout;
 		spec.connectTimeout = kConnectTimeout;
 		// Whether it arrives does not matter: results that nobody frees expire.
--- a/src/piece_runner.h
+++ b/src/piece_runner.h
@@ -27,7 +27,7 @@
 class PieceRunner
 {
 public:
-	PieceRunner(HttpClient& _client, const Wire& _wire, PieceScheduler _scheduler, PieceHandlers _handlers);
+	PieceRunner(HttpClient& _client, const WireFormat& _wire, PieceScheduler _scheduler, PieceHandlers _handlers);
 
 	void setPlan(const RoutePlan& _plan);
 	/// @param[in] _position Position of the listing in the platform's log, for the logs.
@@ -53,7 +53,7 @@
 	void sendFrees();
 
 	HttpClient& client;
-	const Wire& wire;
+	const WireFormat& wire;
 	PieceScheduler scheduler;
 	PieceHandlers handlers;
 	std::uint64_t listing = 0;                                ///< Position of the listing in use.
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -268,13 +268,13 @@
 Test(client, idle_connections_of_all_nodes_leave_room_for_new_ones)
 {
 	PoolSpec pool;
-	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.keepAtMost);
-	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.keepAtMost);
+	cr_assert_eq(maxIdleConnections(nullptr, 80), CallSpec{}.keepAtMost);
+	cr_assert_eq(maxIdleConnections(&pool, 80), CallSpec{}.keepAtMost);
 	pool.connections = 110;
-	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // 80 nodes with one each would leave 30 of 110 for requests.
-	cr_assert_eq(idleConnectionsOf(&pool, 7), 7);
+	cr_assert_eq(maxIdleConnections(&pool, 80), 0); // 80 nodes with one each would leave 30 of 110 for requests.
+	cr_assert_eq(maxIdleConnections(&pool, 7), 7);
 	pool.connections = 100'000;
-	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.keepAtMost);
+	cr_assert_eq(maxIdleConnections(&pool, 7), CallSpec{}.keepAtMost);
 }
 
 Test(client, connection_that_the_server_is_about_to_close_is_not_used_again)
@@ -461,11 +461,11 @@
 					   while (!text.empty())
 					   {
 						   const std::size_t size = *rc::gen::inRange<std::size_t>(1, text.size() + 1);
-						   const auto events = cutter.take(text.substr(0, size));
+						   const auto events = cutter.append(text.substr(0, size));
 						   got.insert(got.end(), events.begin(), events.end());
 						   text.erase(0, size);
 					   }
 					   RC_ASSERT(got == expected);
-					   RC_ASSERT(cutter.hasPart() == !part.empty());
+					   RC_ASSERT(cutter.hasPartialEvent() == !part.empty());
 				   });
 }
