--- a/src/adapter.h
+++ b/src/adapter.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// What the daemon needs of the platform that it runs on. Each platform has an adapter in a folder of its own, which
-/// only translates and registers itself under a name.
+/// Interface between the daemon and the platform that it runs on. Each platform has an adapter in its own folder, which
+/// translates between the two and registers itself under a name.
 
 #ifndef ROADFERRY_ADAPTER_H_HEADER_GUARD
 #define ROADFERRY_ADAPTER_H_HEADER_GUARD
@@ -19,14 +19,14 @@
 namespace roadferry
 {
 
-/// A new version of the routes.
+/// A version of the routes read from the platform.
 struct RoutesUpdate
 {
 	std::shared_ptr<const RoutePlan> plan;
-	std::string record; ///< As the platform keeps it, for nodes that cannot reach the platform.
+	std::string record; ///< The routes as the platform stores them, for nodes that cannot reach the platform.
 };
 
-/// An entry that could not be read.
+/// An entry that could not be decoded.
 struct UnreadableEntry
 {
 	std::string name;
@@ -36,68 +36,71 @@
 
 using FeedChange = std::variant<RoutesUpdate, ListedEndpoint, UnlistedEndpoint, UnreadableEntry>;
 
-/// Part of a feed.
+/// Changes read from a feed in one call.
 struct FeedPage
 {
-	std::uint64_t next = 0; ///< Position behind what was read.
+	std::uint64_t next = 0; ///< Position after the last entry that was read.
 	std::vector<FeedChange> changes;
 };
 
 using FeedCallback = std::function<void(absl::StatusOr<FeedPage>)>;
 
-/// What the platform tells of routes and endpoints. Called on the control thread, which the answers come back to.
+/// Source of routes and endpoints on the platform. Called on the control thread; results are delivered on that thread
+/// too.
 class Feed
 {
 public:
 	virtual ~Feed() = default;
 
-	/// Reads the newest entry of every name.
+	/// Reads the newest entry for every name.
 	virtual void readSnapshot(FeedTopic _topic, FeedCallback _done) = 0;
 
-	/// Reads what came after a position.
-	/// @param[in] _position Position that an earlier page gave.
-	/// @param[in] _wait How long to wait for something new, 0 for not at all.
-	/// @param[in] _limit How much later than that the answer may come.
-	/// @param[in] _done Called with OutOfRange when the platform does not hold these changes any more.
+	/// Reads the changes from a position on.
+	/// @param[in] _position Position that an earlier page returned.
+	/// @param[in] _wait Time to wait for new changes in microseconds, 0 to return at once.
+	/// @param[in] _limit Time allowed for the answer beyond _wait, in microseconds.
+	/// @param[in] _done Called with OutOfRange when the platform no longer holds these changes.
 	virtual void readChanges(FeedTopic _topic, std::uint64_t _position, Micros _wait, Micros _limit,
 							 FeedCallback _done) = 0;
 
-	/// Reads a record that another node has passed on.
+	/// Decodes a record received from another node.
 	[[nodiscard]] virtual absl::StatusOr<RoutesUpdate> decodeRecord(const std::string& _record) const = 0;
 };
 
-/// The platform's forms of requests, answers and pieces.
+/// Converts requests, responses and batches of pieces to and from the platform's HTTP format.
 class WireFormat
 {
 public:
 	virtual ~WireFormat() = default;
 
-	/// @returns Whether a request at the readiness address asks if this node takes requests.
+	/// @returns Whether a request at the readiness address is the platform's readiness probe.
 	[[nodiscard]] virtual bool isReadinessProbe(const HttpRequest& _request) const = 0;
 
-	/// @returns The request, or InvalidArgument that says what a client has to mend.
+	/// @returns The request, or InvalidArgument with a message that tells the client what to correct.
 	[[nodiscard]] virtual absl::StatusOr<ForwardRequest> parseRequest(HttpRequest _request) const = 0;
 
-	/// @returns What to send to the endpoint.
+	/// @returns The HTTP request to send to the endpoint.
 	[[nodiscard]] virtual HttpRequest makeEndpointRequest(const ForwardRequest& _request,
 														  const ForwardAttempt& _attempt) const = 0;
 
 	[[nodiscard]] virtual ForwardHead parseHead(unsigned _status, const HttpHeaders& _headers) const = 0;
 
-	/// Number of an event of a stream, from its text without the empty line at its end.
-	/// @returns Nothing when the event has none.
+	/// Reads the numeric id of a stream event.
+	/// @param[in] _event Text of the event.
+	/// @returns The id, or nothing when the event has no numeric id.
 	[[nodiscard]] virtual std::optional<std::uint64_t> eventId(std::string_view _event) const = 0;
 
-	/// @returns The call that makes pieces at an endpoint.
+	/// @returns The HTTP request that computes a batch of pieces at an endpoint.
 	[[nodiscard]] virtual HttpRequest makeBatchRequest(const StartBatch& _batch, Micros _now) const = 0;
 
-	/// @returns What became of the pieces; BatchCut for an answer that cannot be used.
+	/// @param[in] _pieces Number of pieces in the batch.
+	/// @returns The results of the pieces, or BatchCut for a response that cannot be used.
 	[[nodiscard]] virtual BatchEnd parseBatchResponse(const CallEnd& _end, std::size_t _pieces) const = 0;
 
-	/// @returns The call that lets an endpoint drop results.
+	/// @returns The HTTP request that tells an endpoint to free results.
 	[[nodiscard]] virtual HttpRequest makeFreeRequest(const std::vector<std::string>& _handles) const = 0;
 
-	/// @returns Address of the endpoint that keeps a result, empty when the handle is malformed.
+	/// @returns Address of the endpoint that stores a result, empty when the handle is malformed.
 	[[nodiscard]] virtual std::string resultAddress(const std::string& _handle) const = 0;
 };
 
@@ -108,16 +111,16 @@
 	std::unique_ptr<WireFormat> (*makeWireFormat)();
 
 	/// @param[in] _client Client for calls to the platform.
-	/// @param[in] _thread Thread of the client's pool.
-	/// @param[in] _address IP number and port of what tells of routes and endpoints.
+	/// @param[in] _pool The client's thread pool.
+	/// @param[in] _address IP address and port of the service that publishes routes and endpoints.
 	std::unique_ptr<Feed> (*makeFeed)(HttpClient& _client, IoPool& _pool, const std::string& _address);
 };
 
-/// Adds an adapter under its name; called by the adapters' own files before main.
-/// @returns True, so that it can initialise a static.
+/// Registers an adapter under its name. Each adapter calls this before main, to initialise a static variable.
+/// @returns Whether the name was free.
 bool registerAdapter(const Adapter& _adapter);
 
-/// @returns The adapter, or null when no such name was registered.
+/// @returns The adapter, or null when none is registered under the name.
 const Adapter* findAdapter(std::string_view _name);
 
 /// @returns The names of all registered adapters, sorted.
--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the cutting of streams into events.
+/// Implementation of EventSplitter.
 
 #include "event_stream.h"
 
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr std::size_t kEventLimit = 1024 * 1024; ///< Bytes; engines' events hold a few tokens.
+constexpr std::size_t kEventLimit = 1024 * 1024; ///< Longest event in bytes; events of engines hold a few tokens.
 
-/// @returns Position behind the first empty line at or after a position, npos when there is none.
+/// @returns Position after the first empty line at or after _from, npos when there is none.
 std::size_t endOfEvent(const std::string& _text, std::size_t _from)
 {
 	const std::size_t plain = _text.find("\n\n", _from);
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Cuts a stream of server-sent events into whole events (WHATWG HTML, 9.2).
+/// Splits a stream of server-sent events into complete events (WHATWG HTML, 9.2).
 
 #ifndef ROADFERRY_EVENT_STREAM_H_HEADER_GUARD
 #define ROADFERRY_EVENT_STREAM_H_HEADER_GUARD
@@ -17,18 +17,18 @@
 namespace roadferry
 {
 
-/// Collects the bytes of a stream and gives them back in whole events.
+/// Buffers the bytes of a stream and returns them as complete events.
 class EventSplitter
 {
 public:
-	/// Takes bytes as they came.
-	/// @returns The whole events among all bytes so far, each with the empty line at its end.
+	/// Appends received bytes.
+	/// @returns The events that are now complete, each with the empty line at its end.
 	std::vector<std::string> append(std::string_view _bytes);
 
-	/// @returns Whether bytes of an event that is not whole are held.
+	/// @returns Whether the buffer holds bytes of an incomplete event.
 	[[nodiscard]] bool hasPartialEvent() const;
 
-	/// @returns Whether more than an event's limit was held without its end.
+	/// @returns Whether the incomplete event is longer than an event may be.
 	[[nodiscard]] bool exceedsLimit() const;
 
 private:
--- a/src/forward_types.h
+++ b/src/forward_types.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Requests that are forwarded byte for byte, in the product's own terms. An adapter decodes them from the wire.
+/// Requests that are forwarded byte for byte, independent of the platform's format. An adapter decodes them from HTTP.
 
 #ifndef ROADFERRY_FORWARD_TYPES_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_TYPES_H_HEADER_GUARD
@@ -16,7 +16,7 @@
 namespace roadferry
 {
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt, which several requests may have in common.
 struct PromptPart
 {
 	std::uint64_t id = 0;
@@ -27,42 +27,42 @@
 /// A client's request.
 struct ForwardRequest
 {
-	std::string id; ///< Chosen by the client, one for each time that it asks.
+	std::string id; ///< Chosen by the client, a new one for each submission.
 	std::string method;
 	std::string target; ///< Path with query, as sent.
 	std::string host;
-	HttpHeaders headers; ///< What goes on to the endpoint unchanged; neither credentials nor what this system sets.
+	HttpHeaders headers; ///< Passed on to the endpoint unchanged; without credentials and headers that roadferry sets.
 	std::string body;
 	std::string credential;                ///< Empty when none was sent.
-	std::optional<Micros> clientTimeout;   ///< How long the client waits for the answer.
-	std::vector<std::int64_t> pieceCounts; ///< Pieces of each stage of its route.
-	std::string pieceKey;
-	std::vector<PromptPart> prompt; ///< In order; the last one is the request's own.
+	std::optional<Micros> clientTimeout;   ///< How long the client waits for the response.
+	std::vector<std::int64_t> pieceCounts; ///< Number of pieces in each stage of its route.
+	std::string pieceKey;           ///< Key of the request's own data, for stages that work on the request itself.
+	std::vector<PromptPart> prompt; ///< In order; the last part belongs to this request only.
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
 };
 
-/// One attempt of a request at an endpoint.
+/// One attempt to run a request at an endpoint.
 struct ForwardAttempt
 {
-	std::string endpoint; ///< Id of the one start of the endpoint that may run it.
+	std::string endpoint; ///< Id of the endpoint instance that may run it; a restarted endpoint has a new id.
 	std::string workspace;
 	Micros timeLeft = 0;
-	std::vector<std::string> inputs;          ///< Results of the stages.
-	std::optional<std::uint64_t> lastEventId; ///< Number of the stream's last event that the client has.
+	std::vector<std::string> inputs;          ///< Handles of the stage results that the request needs.
+	std::optional<std::uint64_t> lastEventId; ///< Id of the last event that was sent to the client.
 };
 
-/// What the head of an endpoint's response says.
+/// Status and headers of an endpoint's response.
 struct ForwardHead
 {
 	unsigned status = 0;
-	std::string requestId;       ///< Which request it answers; empty when it does not say.
-	bool notRun = false;         ///< The endpoint did not run the request, and never will.
-	bool inputGone = false;      ///< It did not, since a result of a stage is gone.
-	bool hasSignature = false;   ///< Carries the endpoint's mark under its answer.
-	bool contentEncoded = false; ///< The body is not what the endpoint made.
+	std::string requestId;       ///< Id of the request that it answers; empty when the header is missing.
+	bool notRun = false;         ///< The endpoint did not run the request and never will.
+	bool inputGone = false;      ///< The request was not run because a stage result no longer exists.
+	bool hasSignature = false;   ///< Carries the endpoint's signature of the response.
+	bool contentEncoded = false; ///< The body has a Content-Encoding, so it is not what the endpoint produced.
 	std::optional<LoadReport> load;
-	HttpHeaders headers; ///< What goes back to the client.
+	HttpHeaders headers; ///< Headers to send to the client.
 };
 
 } // namespace roadferry
