--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the answer to a forwarded request.
+/// Implementation of ForwardAnswer.
 
 #include "forward_answer.h"
 
@@ -24,7 +24,7 @@
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 
-/// Statuses by which a server promises that the request has not run.
+/// @returns Whether a status tells the client that the request has not run.
 bool impliesNotRun(unsigned _status)
 {
 	return _status == kTooManyRequests || _status == kUnavailable;
@@ -83,7 +83,7 @@
 	const auto number = this->wire.eventId(_event);
 	if (number && this->lastSentId && *number <= *this->lastSentId)
 	{
-		return; // The client has it from an earlier attempt.
+		return; // An earlier attempt has already delivered this event.
 	}
 	this->startStream();
 	const Micros now = monotonicNow();
@@ -138,7 +138,8 @@
 	}
 	if (this->streamStarted || (impliesNotRun(status) && !this->repeatable))
 	{
-		// A failure has no place inside a stream; and this status would promise what the endpoint did not.
+		// An error response cannot follow a stream that has begun. A status that tells the client that the request has
+		// not run must not be passed on either, since the endpoint did not state that.
 		return AttemptCut{};
 	}
 	this->keptHead = this->currentHead;
--- a/src/forward_answer.h
+++ b/src/forward_answer.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The answer to one forwarded request: taken from one or more attempts, and delivered to the client whole or as a
+/// The response to one forwarded request: built from one or more attempts and sent to the client as a whole or as a
 /// stream.
 
 #ifndef ROADFERRY_FORWARD_ANSWER_H_HEADER_GUARD
@@ -17,54 +17,58 @@
 namespace roadferry
 {
 
-/// Takes the responses of endpoints, one attempt after the other, and answers the client once.
+/// Receives the responses of endpoints, one attempt after another, and answers the client exactly once.
 class ForwardAnswer
 {
 public:
-	/// @param[in] _requestId Id that an endpoint's answer has to carry.
-	/// @param[in] _streaming Whether a good answer is a stream of events.
+	/// @param[in] _requestId Id that an endpoint's response must carry.
+	/// @param[in] _streaming Whether a successful response is a stream of events.
 	/// @param[in] _repeatable Whether the request may run more than once.
 	ForwardAnswer(const WireFormat& _wire, std::shared_ptr<HttpReply> _reply, std::string _requestId, bool _streaming,
 				  bool _repeatable);
 
+	/// Resets the state of the previous attempt.
 	void beginAttempt();
+	/// Handles the head of an attempt's response.
+	/// @returns Skip when the response belongs to another request.
 	HeadVerdict receiveHead(unsigned _status, const HttpHeaders& _headers);
+	/// Handles bytes of the response body; complete events of a usable stream are sent to the client.
 	void receiveData(const std::string& _bytes);
 
 	/// Ends an attempt.
-	/// @returns What the attempt came to. The answer, if it is one, is kept for deliver().
+	/// @returns Result of the attempt. A response that can be passed on is kept for deliver().
 	AttemptEnd endAttempt(const CallEnd& _end);
 
-	/// Sends the client what the last attempt brought.
+	/// Sends the kept response to the client, or ends its stream.
 	void deliver();
 
-	/// Answers without an endpoint's answer.
-	/// @param[in] _retryAfter When the client may come back; 0 for no advice.
+	/// Answers with an error of this node.
+	/// @param[in] _retryAfter Retry-After for the client in microseconds, 0 for none.
 	void refuse(unsigned _status, Micros _retryAfter, const std::string& _code, const std::string& _message);
 
-	/// Ends the connection, for a stream that cannot be completed.
+	/// Closes the client's connection, for a stream that cannot be completed.
 	void abort();
 
-	/// @returns Whether an endpoint's own failure is kept, to be passed on if nothing better comes.
+	/// @returns Whether an endpoint's error response is kept, to be passed on if no later attempt succeeds.
 	[[nodiscard]] bool hasErrorResponse() const;
 
-	/// @returns Whether part of a stream has gone to the client.
+	/// @returns Whether a stream to the client has begun.
 	[[nodiscard]] bool hasStarted() const;
 
-	/// @returns Number of the last event that has gone to the client.
+	/// @returns Id of the last event that was sent to the client.
 	[[nodiscard]] std::optional<std::uint64_t> lastEventId() const;
 
-	/// @returns Head of the attempt's response, if one has come.
+	/// @returns Head of the latest attempt's response, if it has arrived.
 	[[nodiscard]] const std::optional<ForwardHead>& head() const;
 
 	[[nodiscard]] const std::shared_ptr<HttpReply>& reply() const;
 
-	/// What a stream has been like so far.
+	/// Timing of a stream so far.
 	struct StreamTimes
 	{
-		Micros firstAt = 0; ///< Time point of the first event, 0 for none.
-		Micros lastAt = 0;
-		Micros longestPause = 0;
+		Micros firstAt = 0;      ///< Time point of the first event, 0 before it.
+		Micros lastAt = 0;       ///< Time point of the last event.
+		Micros longestPause = 0; ///< Longest time between two consecutive events.
 		std::int64_t events = 0;
 	};
 
@@ -81,12 +85,12 @@
 	bool streaming;
 	bool repeatable;
 
-	std::optional<ForwardHead> currentHead; ///< Of the attempt under way, or the last one.
+	std::optional<ForwardHead> currentHead; ///< Response head of the current or latest attempt.
 	EventSplitter splitter;
 	std::string body;
-	bool streamInvalid = false; ///< The attempt's stream cannot be used any further.
+	bool streamInvalid = false; ///< The attempt's stream cannot be continued.
 
-	std::optional<ForwardHead> keptHead; ///< Of a whole answer that can be delivered.
+	std::optional<ForwardHead> keptHead; ///< Head of a complete response that can be delivered.
 	std::string keptBody;
 	bool streamStarted = false;
 	std::optional<std::uint64_t> lastSentId;
