--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the control state of a node that forwards.
+/// Implementation of ForwardControl.
 
 #include "forward_control.h"
 
@@ -20,14 +20,15 @@
 {
 
 constexpr int kTickMs = 200;
-constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Of a tick of this thread.
-constexpr Micros kPeerQueryInterval =
-	400 * kMillisecond; ///< Between two questions to other nodes while the platform is away.
+constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Lateness of a tick that is logged.
+/// Between two queries to other nodes while the platform does not answer.
+constexpr Micros kPeerQueryInterval = 400 * kMillisecond;
 constexpr std::int64_t kNanosPerMicro = 1'000;
-/// Part of the retries that all nodes together are allowed: views of who is alive differ for seconds.
+/// Share of the retries allowed to all nodes together that they use, since their views of the live members may differ
+/// for seconds.
 constexpr double kRetrySafetyFactor = 0.6;
-constexpr std::size_t kMaxUnreadableLogged = 5; ///< Entries of one reading that get a line each.
-constexpr std::size_t kMinNodes = 3;            ///< Assumed until the members are known.
+constexpr std::size_t kMaxUnreadableLogged = 5; ///< Unreadable entries of one read that are logged individually.
+constexpr std::size_t kMinNodes = 3;            ///< Lower bound of the node count, used until the members are known.
 
 } // namespace
 
@@ -44,7 +45,7 @@
 								[this] { this->exchange.readingFailed(FeedTopic::Endpoints); }}),
 	  membership(settings.self, static_cast<std::uint64_t>(wallNanoseconds() / kNanosPerMicro), MembershipConfig{},
 				 randomNumber()),
-	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // CBOR's numbers have a sign.
+	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // Fits a signed CBOR integer.
 {
 	QObject::connect(&this->timer, &QTimer::timeout, [this] { this->tick(); });
 }
@@ -77,7 +78,7 @@
 	}
 }
 
-/// Tells the traffic how current what it was handed is; called when all of it was handed over.
+/// Tells ForwardTraffic how current its routes and endpoints are; called after these were passed to it.
 void ForwardControl::publishKnowledge()
 {
 	this->traffic.setKnowledge(this->exchange.knowledge(monotonicNow()));
@@ -119,7 +120,7 @@
 	const std::uint64_t version = _read.plan->data().version;
 	if (this->plan != nullptr && version <= this->plan->data().version)
 	{
-		return; // A copy that took longer; versions in force never go back.
+		return; // A delayed copy; the version in force never decreases.
 	}
 	this->plan = _read.plan;
 	this->membership.setTableOffset(version);
@@ -134,7 +135,7 @@
 			  {"workspaces", this->plan->data().workspaces.size()}});
 }
 
-/// One line for an entry that says something new.
+/// Logs an entry of the listing if it changes what is known.
 void ForwardControl::logListed(const ListedEndpoint& _listed) const
 {
 	if (!this->exchange.endpoints().differs(_listed))
@@ -210,7 +211,7 @@
 	logEvent("control", "members", {{"alive", alive.size()}, {"retry_burst_of", static_cast<std::int64_t>(nodes)}});
 }
 
-/// Says so when this thread does not get a processor, or has too much to do.
+/// Logs a late tick: this thread got no CPU time or is overloaded.
 void ForwardControl::logLateTick(Micros _now)
 {
 	const Micros late = this->lastTickAt == 0 ? 0 : _now - this->lastTickAt - kTickMs * kMillisecond;
@@ -238,8 +239,8 @@
 	this->perform(this->exchange.onAsk(_peer, _ask, monotonicNow()));
 }
 
-/// One line for all news that bring something: how old it is by its sender's word and by the way that it took, and
-/// whether it was known here already.
+/// Logs a feed update that is not empty: its age according to the sender, the time since it was requested, and the
+/// versions that this node holds already.
 void ForwardControl::logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const
 {
 	const DirectoryChanges& endpoints = _news.endpoints;
@@ -266,7 +267,7 @@
 	this->publishKnowledge();
 }
 
-/// While the platform is away, or has not answered yet, other nodes may know more.
+/// Asks one other node, in turn, for routes and endpoints while the platform does not answer.
 void ForwardControl::queryPeers(Micros _now)
 {
 	if (!this->exchange.away() || _now < this->nextPeerQueryAt)
@@ -308,7 +309,7 @@
 	}
 }
 
-/// Takes routes that another node has passed on.
+/// Decodes and applies routes received from another node.
 void ForwardControl::applyRecord(const std::string& _peer, const std::string& _record)
 {
 	const absl::StatusOr<std::string> text = unpackRecord(_record);
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Control state of a node that forwards: routes, endpoints, members. Runs on the control thread, Qt's main loop.
+/// Control state of a forwarding node: routes, endpoints, members. Runs on the control thread, Qt's main loop.
 
 #ifndef ROADFERRY_FORWARD_CONTROL_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_CONTROL_H_HEADER_GUARD
@@ -19,34 +19,35 @@
 /// Settings of ForwardControl.
 struct ForwardControlSettings
 {
-	std::string self;               ///< Address of this node, as other nodes know it.
-	std::vector<std::string> seeds; ///< Addresses of some other nodes, which may be out of date.
-	double retryShare = 0.2;        ///< Retries that all nodes together may make for each request,
-	double retrySlack = 20;         ///< and beyond that, in each window.
+	std::string self;               ///< Address of this node as used by other nodes.
+	std::vector<std::string> seeds; ///< Addresses of some other nodes; they may be out of date.
+	double retryShare = 0.2;        ///< Retries per request, over all nodes together.
+	double retrySlack = 20;         ///< Additional retries in each window, over all nodes together.
 	DirectoryConfig directory;
 	FeedRelayConfig relay;
 	FeedPace endpoints{0, 600 * kMillisecond};
 };
 
-/// Keeps routes, endpoints and members up to date, and hands immutable copies to the traffic.
+/// Keeps routes, endpoints and members up to date and passes immutable copies to ForwardTraffic.
 class ForwardControl
 {
 public:
-	/// @param[in] _onPlan Called when a newer version of the routes is in force.
+	/// @param[in] _send Sends a message to a node.
+	/// @param[in] _onPlan Called when a newer version of the routes takes effect.
 	ForwardControl(Feed& _feed, ForwardTraffic& _traffic, ForwardControlSettings _settings,
 				   std::function<void(const std::string&, const PeerMessage&)> _send,
 				   std::function<void(const RoutePlan&)> _onPlan);
 
 	void start();
 
-	/// Takes a message of another node.
+	/// Handlers for messages from other nodes.
 	void onGossip(const std::string& _peer, const Gossip& _message);
 	void onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask);
 	void onRoutesGive(const std::string& _peer, const RoutesGive& _give);
 	void onFeedAsk(const std::string& _peer, const FeedAsk& _ask);
 	void onFeedNews(const std::string& _peer, const FeedNews& _news);
 
-	/// Tells other nodes that this one leaves.
+	/// Announces to other nodes that this node leaves.
 	void leave();
 
 	/// @returns Whether routes and endpoints are known.
@@ -82,9 +83,9 @@
 	QTimer timer;
 	std::shared_ptr<const RoutePlan> plan;
 	std::vector<std::string> members;
-	Micros lastTickAt = 0;
-	Micros nextPeerQueryAt = 0;
-	std::size_t peerQueryCount = 0;
+	Micros lastTickAt = 0;          ///< Time point, 0 before the first tick.
+	Micros nextPeerQueryAt = 0;     ///< Time point.
+	std::size_t peerQueryCount = 0; ///< Selects the next node to query.
 };
 
 } // namespace roadferry
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the node that forwards.
+/// Implementation of ForwardNode.
 
 #include "forward_node.h"
 
@@ -22,15 +22,17 @@
 constexpr int kReadyPeriodMs = 20;
 constexpr int kDrainPeriodMs = 20;
 constexpr int kSettingsPeriodMs = 1'000;
-constexpr std::uint64_t kQueuedBytesLogThreshold =
-	64 * 1024; ///< Bytes that wait for one node: a tenth of a second at 5 Mbit/s.
-/// Balancers ask once a second and need two answers that say no; what they still send until then is served.
+constexpr std::uint64_t kQueuedBytesLogThreshold = 64 * 1024; ///< Bytes queued for one node: about 0.1 s at 5 Mbit/s.
+/// Load balancers probe once per second and stop sending after two negative answers. Requests that arrive until then
+/// are served.
 constexpr Micros kBalancerNoticeTime = 2'600 * kMillisecond;
-constexpr Micros kFlushTime = 100 * kMillisecond;      ///< For the last messages to leave.
-constexpr Micros kStopMargin = 800 * kMillisecond;     ///< Kept of the time for a planned stop, for its own end.
-constexpr Micros kRefuseMargin = 1'200 * kMillisecond; ///< Before the end of that time, for refusals to arrive.
-constexpr Micros kLeaseMargin = 50 * kMillisecond;     ///< For a request to reach its endpoint.
-constexpr Micros kBodyTimeout = 30 * kSecond;          ///< For a client to send a body.
+constexpr Micros kFlushTime = 100 * kMillisecond; ///< For the last messages to be sent.
+/// Part of the time for a planned stop that is reserved for its end.
+constexpr Micros kStopMargin = 800 * kMillisecond;
+/// Time before the end of a planned stop at which unsent requests are refused, so that the refusals reach the clients.
+constexpr Micros kRefuseMargin = 1'200 * kMillisecond;
+constexpr Micros kLeaseMargin = 50 * kMillisecond; ///< For a request to reach its endpoint.
+constexpr Micros kBodyTimeout = 30 * kSecond;      ///< For a client to send a request body.
 
 } // namespace
 
@@ -115,7 +117,7 @@
 	const Adapter* adapter = findAdapter(this->settings.adapter);
 	if (adapter == nullptr)
 	{
-		return absl::InvalidArgumentError(absl::StrCat("there is no adapter ", this->settings.adapter));
+		return absl::InvalidArgumentError(absl::StrCat("unknown adapter: ", this->settings.adapter));
 	}
 	this->wire = adapter->makeWireFormat();
 	absl::Status status = this->listenForPeers();
@@ -207,7 +209,8 @@
 			[&](const PieceGive& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceDrop& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceFree& _typed) { this->traffic->receive(_peer, _typed); },
-			[&](const auto&) { logWarning("peer", absl::StrCat(_peer, ": a message for another kind of node")); },
+			[&](const auto&)
+			{ logWarning("peer", absl::StrCat(_peer, ": message type is not handled by a forwarding node")); },
 		},
 		*message);
 }
@@ -224,11 +227,11 @@
 	const bool needsRestart = read->port != this->settings.port || read->peerPort != this->settings.peerPort ||
 							  read->feedAddress != this->settings.feedAddress;
 	this->settings.drainSeconds = read->drainSeconds;
-	// Addresses hold until the next start.
+	// New addresses take effect at the next start.
 	logEvent("node", "reloaded", {{"needs_restart", needsRestart}});
 }
 
-/// The file may change without a signal.
+/// Reloads the settings when their file has changed, also without a signal.
 void ForwardNode::watchSettings()
 {
 	const std::string text = settingsFileText();
@@ -238,7 +241,8 @@
 	}
 }
 
-/// Says so when messages to other nodes pile up or vanish, at most once a second.
+/// Logs long queues of messages to other nodes, and connections that were closed because they were silent. Called once
+/// per second.
 void ForwardNode::logPeerLink()
 {
 	const std::uint64_t queued = this->link->takeMostQueued();
@@ -279,7 +283,7 @@
 	{
 		return;
 	}
-	// Requests that still come over open connections are served; each connection closes after its answer.
+	// Requests that still arrive on open connections are served; each connection is closed after its response.
 	this->server->closeAfterAnswers();
 	if (waited >= this->settings.drainSeconds * kSecond - kRefuseMargin && !std::exchange(this->unsentRefused, true))
 	{
--- a/src/forward_node.h
+++ b/src/forward_node.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// A node that forwards requests on a platform: listeners, traffic, control, and its planned stop.
+/// A node that forwards requests on a platform: its listeners, request handling, control state and planned stop.
 
 #ifndef ROADFERRY_FORWARD_NODE_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_NODE_H_HEADER_GUARD
@@ -17,7 +17,7 @@
 namespace roadferry
 {
 
-/// The daemon in its forwarding form.
+/// Daemon that forwards requests.
 class ForwardNode final : public Daemon
 {
 public:
@@ -46,7 +46,7 @@
 	IoPool pool;
 	HttpClient client;
 	Metrics metrics;
-	QObject controlContext; ///< Receives what is to run on the control thread.
+	QObject controlContext; ///< Context object of calls that are queued to the control thread.
 	std::unique_ptr<WireFormat> wire;
 	std::unique_ptr<Feed> feed;
 	std::unique_ptr<PeerLink> link;
@@ -54,18 +54,18 @@
 	std::unique_ptr<ForwardControl> control;
 	std::unique_ptr<HttpServer> server;
 	std::unique_ptr<HttpServer> readinessServer;
-	std::uint64_t loggedPeerBytes = 0; ///< Of messages between nodes, at the last look at their queues.
-	std::uint64_t loggedSilentConnections = 0;
+	std::uint64_t loggedPeerBytes = 0;         ///< Bytes exchanged with other nodes, at the last call of logPeerLink().
+	std::uint64_t loggedSilentConnections = 0; ///< Silent connections closed, as last logged.
 	QTimer readyTimer;
 	QTimer drainTimer;
 	QTimer settingsTimer;
 	std::function<void()> onStopped;
-	std::string settingsText; ///< As read last.
+	std::string settingsText; ///< Text of the settings file as last read.
 	std::atomic<bool> isReady{false};
 	std::atomic<bool> draining{false};
 	bool unsentRefused = false;
-	Micros drainStartedAt = 0;
-	Micros flushStartedAt = 0;
+	Micros drainStartedAt = 0; ///< Time point, 0 before a planned stop.
+	Micros flushStartedAt = 0; ///< Time point, 0 before the final flush of messages.
 };
 
 } // namespace roadferry
