--- a/src/forward_active.h
+++ b/src/forward_active.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// A forwarded request under way, as the files of ForwardTraffic share it.
+/// State of a forwarded request in progress, shared by the source files of ForwardTraffic.
 
 #ifndef ROADFERRY_FORWARD_ACTIVE_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_ACTIVE_H_HEADER_GUARD
@@ -14,10 +14,10 @@
 namespace roadferry
 {
 
-constexpr Micros kShortRetryAfter = 300 * kMillisecond; ///< Advice when trouble is over in a moment.
-constexpr std::int64_t kMaxStageReruns = 2;             ///< Times that one request's pieces are made again.
+constexpr Micros kShortRetryAfter = 300 * kMillisecond; ///< Retry-After for conditions that pass quickly.
+constexpr std::int64_t kMaxStageReruns = 2;             ///< Times that the stages of one request are run again.
 
-/// A request under way.
+/// A request in progress.
 struct ForwardTraffic::ActiveRequest
 {
 	ActiveRequest(ForwardRequest _request, const WireFormat& _wire, const std::shared_ptr<HttpReply>& _reply,
@@ -30,28 +30,28 @@
 
 	std::uint64_t id = 0;
 	ForwardRequest request;
-	std::shared_ptr<const RoutePlan> plan; ///< Version under which it was admitted.
+	std::shared_ptr<const RoutePlan> plan; ///< Version of the routes under which it was admitted.
 	const Route& route;
 	std::string workspace;
 	std::int64_t priority = 0;
-	Micros arrivedAt = 0;
-	Micros deadline = 0;
-	Micros stagesDeadline = 0; ///< Given up if its stages are not done by then.
+	Micros arrivedAt = 0;      ///< Time point of its arrival.
+	Micros deadline = 0;       ///< Time point by which the request must be answered.
+	Micros stagesDeadline = 0; ///< Time point at which it is refused if its stages are not complete.
 	ForwardAnswer answer;
 	StageGraph graph;
-	std::map<std::string, std::string> resultDomains; ///< Failure domain of each result.
-	std::set<std::uint64_t> orders;                   ///< Pieces that are being made.
-	std::string pool;                                 ///< Where the request itself goes.
-	std::uint64_t prefixHash = 0;                     ///< Hash of what its prompt shares with others.
-	std::string homeDomain;   ///< Failure domain of the endpoint that it will most likely go to.
-	bool inputsFreed = false; ///< Results that it needs were given back.
+	std::map<std::string, std::string> resultDomains; ///< Failure domain of each stage result, by handle.
+	std::set<std::uint64_t> orders;                   ///< Piece orders that are not complete.
+	std::string pool;                                 ///< Pool that runs the request itself.
+	std::uint64_t prefixHash = 0;                     ///< Hash of the shared parts of its prompt, 0 for none.
+	std::string homeDomain;                           ///< Failure domain of the endpoint that will most likely run it.
+	bool inputsFreed = false;                         ///< The stage results that it needs were freed.
 	std::int64_t stageReruns = 0;
-	bool admissionRequested = false; ///< Its first pieces were ordered.
-	bool submitted = false;          ///< The dispatcher has it.
-	std::int64_t attempts = 0;
-	std::uint64_t currentAttempt = 0; ///< The one under way, 0 for none.
-	Micros attemptStartedAt = 0;
-	std::string endpoint;
+	bool admissionRequested = false;  ///< Its first pieces, which carry the admission request, were ordered.
+	bool submitted = false;           ///< It was handed to the dispatcher.
+	std::int64_t attempts = 0;        ///< Attempts started so far.
+	std::uint64_t currentAttempt = 0; ///< Id of the attempt in progress, 0 for none.
+	Micros attemptStartedAt = 0;      ///< Time point at which the latest attempt started.
+	std::string endpoint;             ///< Endpoint of the latest attempt.
 	std::shared_ptr<HttpCall> call;
 };
 
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Forwarded requests while their stages run: what is predicted, which pieces are made where, and what becomes of them.
+/// Stages of forwarded requests: predicted times, where pieces are computed, and the handling of their results.
 
 #include "clock.h"
 #include "forward_active.h"
@@ -20,15 +20,16 @@
 namespace
 {
 
-constexpr double kMaxRetryAfterShare = 1.0 / 3; ///< Part of their time that clients wait when told to come back.
-constexpr double kRetryAfterMinFactor = 0.5;    ///< Parts of that wait.
+constexpr double kMaxRetryAfterShare = 1.0 / 3; ///< Longest Retry-After, as a share of the request's time limit.
+constexpr double kRetryAfterMinFactor = 0.5;    ///< Range of the Retry-After, as shares of the longest one.
 constexpr double kRetryAfterMaxFactor = 0.95;
 constexpr std::uint64_t kRetryAfterSteps = 1'000;
-/// How much sooner a request is refused for each step that it is less urgent, so that backlogs keep room for others.
+/// Reduction of the permitted wait per priority step, so that less urgent requests are refused first and the backlog
+/// leaves capacity for urgent ones.
 constexpr double kSlackReductionPerPriority = 0.5;
 constexpr double kFirstEventSmoothing = 0.05;
-constexpr Micros kDefaultFirstEventTime = 300 * kMillisecond; ///< Until one was measured.
-constexpr std::int64_t kLargeResultBytes = 100'000;           ///< Bytes from which on it matters where a result lies.
+constexpr Micros kDefaultFirstEventTime = 300 * kMillisecond; ///< Used until a time has been measured.
+constexpr std::int64_t kLargeResultBytes = 100'000; ///< Size from which the location of a result is considered.
 
 } // namespace
 
@@ -50,7 +51,7 @@
 	return found == this->firstEventTimes.end() ? kDefaultFirstEventTime : static_cast<Micros>(found->second);
 }
 
-/// What a request needs of its pools to be in time. Its first pieces go out with it.
+/// Returns what a request needs from its pools to meet its target time. Sent with its first pieces.
 AdmissionTerms ForwardTraffic::makeAdmissionTerms(const ActiveRequest& _active) const
 {
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
@@ -59,13 +60,14 @@
 	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
 	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kSlackReductionPerPriority * rank));
-	// One that comes with less time than its route gives has most likely been turned away before: it is served.
+	// A request with clearly less time than its route allows has most likely been refused before, so it is not
+	// refused again.
 	terms.refusable = _active.deadline - _active.arrivedAt > _active.route.timeLimit * 9 / 10;
 	return terms;
 }
 
-/// When a request that was not let in should come back: spread over what its client accepts, so that those of one burst
-/// do not come back together, and most of them after it.
+/// Returns the Retry-After of a request that is not admitted. It is spread over the time that the client accepts, so
+/// that the requests of one burst do not all return at once, and most return after the burst.
 Micros ForwardTraffic::jitteredRetryAfter(const ActiveRequest& _active)
 {
 	const double latest = static_cast<double>(_active.deadline - _active.arrivedAt) * kMaxRetryAfterShare;
@@ -74,7 +76,8 @@
 	return static_cast<Micros>(latest * (kRetryAfterMinFactor + (kRetryAfterMaxFactor - kRetryAfterMinFactor) * part));
 }
 
-/// Bytes that cross between a stage's results and those who work on them: each of their pieces fetches all results.
+/// Returns the bytes transferred from a stage's results to the pieces that use them: each such piece fetches all
+/// results.
 std::int64_t ForwardTraffic::downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const
 {
 	const std::vector<RouteStage>& stages = _active.route.stages;
@@ -89,8 +92,8 @@
 	return stages[_stage].resultBytes * countOf(_stage) * std::max<std::int64_t>(1, fetches);
 }
 
-/// @returns Failure domain in which a stage's pieces should be made: where their inputs lie, if those are large, or
-/// where the request itself will go, if their results are; empty when it does not matter.
+/// @returns Preferred failure domain for a stage's pieces: the domain that holds their inputs, if these are large, or
+/// the domain where the request itself will run, if their results are large; empty when it does not matter.
 std::string ForwardTraffic::preferredDomain(const ActiveRequest& _active, std::size_t _stage) const
 {
 	std::map<std::string, std::int64_t> bytesIn;
@@ -218,7 +221,7 @@
 	}
 	if (_failed.fault == PieceFault::Crowded)
 	{
-		// Later, when the backlog has gone down, it can still be in time; now it would be late, and hold others up.
+		// Now it would be late and delay other requests; after the backlog has shrunk it can still be in time.
 		this->giveUp(active, Reason::WouldBeLate, jitteredRetryAfter(*active));
 		return;
 	}
@@ -226,7 +229,7 @@
 	this->giveUp(active, late ? Reason::WouldBeLate : Reason::NoEndpoint, kShortRetryAfter);
 }
 
-/// Makes all pieces again, after a result was lost.
+/// Runs all stages again after a result was lost.
 void ForwardTraffic::rerunStages(const ActiveRequestPtr& _active)
 {
 	_active->stageReruns += 1;
@@ -235,7 +238,8 @@
 	this->deadlines.erase({_active->stagesDeadline, _active->id});
 	if (_active->attempts > 0)
 	{
-		_active->stagesDeadline = _active->deadline; // Once it was sent, a refusal could no longer say that it was not.
+		// It was sent to an endpoint, so a refusal could no longer state that it did not run.
+		_active->stagesDeadline = _active->deadline;
 	}
 	const std::vector<std::uint64_t> orders(_active->orders.begin(), _active->orders.end());
 	_active->orders.clear();
@@ -250,7 +254,7 @@
 	this->orderPieces(_active);
 }
 
-/// @returns The failure domain that holds most of the results, where they are large.
+/// @returns The failure domain that holds most of the results, empty unless these are large.
 std::string ForwardTraffic::resultsDomain(const ActiveRequest& _active) const
 {
 	const bool large = std::any_of(_active.route.stages.begin(), _active.route.stages.end(),
@@ -274,7 +278,7 @@
 	return most == counts.end() ? std::string() : most->first;
 }
 
-/// The endpoint has fetched its inputs: they need not take up room any longer.
+/// Frees the inputs of the request, which its endpoint has fetched.
 void ForwardTraffic::freeInputs(const ActiveRequestPtr& _active)
 {
 	_active->inputsFreed = true;
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Forwarded requests from their arrival to their answer; forward_stages.cpp has what their stages need.
+/// Forwarded requests from arrival to response; forward_stages.cpp has the handling of their stages.
 
 #include "clock.h"
 #include "forward_active.h"
@@ -22,18 +22,20 @@
 {
 
 constexpr Micros kTickPeriod = 20 * kMillisecond;
-constexpr Micros kConnectTimeout = 400 * kMillisecond; ///< Across failure domains a connection opens in 2 ms.
-constexpr Micros kCallTimeoutSlack =
-	200 * kMillisecond; ///< The dispatcher gives up first; this is for when it does not.
-constexpr Micros kOtherNodeRetryAfter = 300 * kMillisecond; ///< Advice of a node that does not serve: another one will.
-constexpr Micros kDefaultClientTimeout = 60 * kSecond;      ///< Of clients that do not say how long they wait.
-/// Until an endpoint that takes a request at once has fetched its inputs: 1 ms for each 800 kB, and the way there.
+constexpr Micros kConnectTimeout = 400 * kMillisecond; ///< A connection across failure domains opens in 2 ms.
+/// Added to the timeout of a call, which the dispatcher normally cancels first.
+constexpr Micros kCallTimeoutSlack = 200 * kMillisecond;
+/// Retry-After of a node that cannot serve the request; another node can.
+constexpr Micros kOtherNodeRetryAfter = 300 * kMillisecond;
+constexpr Micros kDefaultClientTimeout = 60 * kSecond; ///< Used when the client gives no timeout.
+/// Time for an endpoint that starts a request at once to fetch its inputs: 1 ms per 800 kB plus the network delay.
 constexpr Micros kInputFetchTime = 150 * kMillisecond;
-constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Of a tick of this thread.
+constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Lateness of a tick that is logged.
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kIdleConnectionShare = 0.5; ///< Part of an endpoint's connections that may rest at all nodes together.
-/// Part of a client's patience after which a request whose stages are not done is refused: what is left must be enough
-/// for another try, and a client that is kept for longer could have gone elsewhere.
+/// Share of an endpoint's connections that all nodes together may keep idle.
+constexpr double kIdleConnectionShare = 0.5;
+/// Share of the client's timeout after which a request with incomplete stages is refused: the rest must be enough for
+/// another attempt, and a client that waits longer could have used another node.
 constexpr double kStagesTimeShare = 0.45;
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kNotFound = 404;
@@ -42,7 +44,7 @@
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kGatewayTimeout = 504;
 
-/// @returns Hash of the parts of a prompt that other requests may share, 0 when there are none.
+/// @returns Hash of the prompt parts that other requests may share, 0 when there are none.
 std::uint64_t hashSharedPrefix(const std::vector<PromptPart>& _prompt)
 {
 	std::uint64_t hash = 0;
@@ -53,7 +55,7 @@
 	return hash;
 }
 
-/// @returns A gauge as Prometheus text, empty while the age is not known.
+/// @returns A gauge in Prometheus text format, empty while the age is unknown.
 std::string ageGauge(const char* _name, Micros _knownAt, Micros _now)
 {
 	if (_knownAt == 0)
@@ -187,13 +189,13 @@
 						ageGauge("roadferry_listing_age_seconds", this->knowledge.listingAt, now));
 }
 
-/// Age of the routes that a request is handled by; -1 while it is not known.
+/// Returns the age of the routes in use, -1 while unknown.
 LogField ForwardTraffic::routesAgeField(Micros _now) const
 {
 	return {"routes_age_ms", this->knowledge.routesAt == 0 ? -1 : (_now - this->knowledge.routesAt) / kMillisecond};
 }
 
-/// Age of the listing that an endpoint is chosen from; -1 while it is not known.
+/// Returns the age of the endpoint listing in use, -1 while unknown.
 LogField ForwardTraffic::listingAgeField(Micros _now) const
 {
 	return {"listing_age_ms", this->knowledge.listingAt == 0 ? -1 : (_now - this->knowledge.listingAt) / kMillisecond};
@@ -293,7 +295,7 @@
 	_active->answer.reply()->onGone([this, id = _active->id] { this->onClientGone(id); });
 	if (this->findActive(_active->id) == nullptr)
 	{
-		return; // The client had left already.
+		return; // The client had already disconnected.
 	}
 	if (_active->graph.complete())
 	{
@@ -517,7 +519,7 @@
 	this->endRequest(_active, _outcome, "unknown");
 }
 
-/// Ends a request that was not sent to an endpoint of its own.
+/// Ends a request that is not at an endpoint. The verdict is Unknown if an earlier attempt was sent, else NotRun.
 void ForwardTraffic::giveUp(const ActiveRequestPtr& _active, Reason _reason, Micros _retryAfter)
 {
 	const bool sent = _active->attempts > 0;
@@ -573,7 +575,7 @@
 	this->endRequest(active, Outcome{Verdict::Unknown, Reason::Cancelled, false, 0, {}}, "client_left");
 }
 
-/// Says so when this thread does not get a processor.
+/// Logs a late tick: this thread got no CPU time or is overloaded.
 void ForwardTraffic::logLateTick(Micros _now)
 {
 	const Micros late = this->lastTickAt == 0 ? 0 : _now - this->lastTickAt - kTickPeriod;
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Requests that are forwarded byte for byte: routed, admitted, taken through their stages, placed, and answered.
+/// Handling of requests that are forwarded byte for byte: routing, admission, stages, placement and response.
 
 #ifndef ROADFERRY_FORWARD_TRAFFIC_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_TRAFFIC_H_HEADER_GUARD
@@ -23,21 +23,22 @@
 /// Settings of ForwardTraffic.
 struct ForwardSettings
 {
-	std::string self; ///< Address of this node, as other nodes know it.
+	std::string self; ///< Address of this node as used by other nodes.
 	DispatcherConfig dispatcher;
 	PieceSchedulerConfig pieces;
-	Micros lease = 2 * kSecond; ///< How old routes and endpoints may be that decide about a request.
+	Micros lease = 2 * kSecond; ///< Maximum age of routes and endpoints that are used to handle a request.
 };
 
-/// Endpoints reset connections beyond a number that all nodes share: what rests at one node must leave room for the
-/// requests of all others, which may not be sent again after a reset.
-/// @param[in] _pool Pool of the endpoint, null when it is not known.
-/// @param[in] _nodes Live nodes, at least one.
-/// @returns Idle connections to one endpoint that a node may keep.
+/// Limits the idle connections to an endpoint. An endpoint resets connections beyond a limit that all nodes share, and
+/// a request that is cut off by a reset may not be sent again, so the idle connections of one node must leave enough
+/// for the requests of the others.
+/// @param[in] _pool Pool of the endpoint, null when unknown.
+/// @param[in] _nodes Number of live nodes, at least one.
+/// @returns Maximum number of idle connections that a node keeps to one endpoint.
 std::size_t maxIdleConnections(const PoolSpec* _pool, std::size_t _nodes);
 
-/// All forwarded requests of this node. Everything runs on thread 0 of the pool; functions that say so may be called
-/// from any thread.
+/// All forwarded requests of this node. Runs on thread 0 of the pool; only functions documented so may be called from
+/// any thread.
 class ForwardTraffic
 {
 public:
@@ -46,35 +47,35 @@
 				   std::function<void(const std::string&, const PieceMessage&)> _send);
 	~ForwardTraffic();
 
-	/// Begins to watch deadlines.
+	/// Starts the timer that checks deadlines.
 	void start();
 
-	/// Takes a client's request. On thread 0.
+	/// Handles a client's request. Called on thread 0.
 	void handle(HttpRequest _request, const std::shared_ptr<HttpReply>& _reply);
 
-	/// Each of these may be called from any thread.
+	/// The functions from here to inFlight() may be called from any thread.
 	void setPlan(const std::shared_ptr<const RoutePlan>& _plan);
-	/// @param[in] _position Position of the listing in the platform's log, for the logs.
+	/// @param[in] _position Position of the listing in the platform's log; only logged.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
-	/// Call after setPlan and setEndpoints, of which it tells how current they are.
+	/// Sets how current routes and endpoints are. Called after setPlan() and setEndpoints().
 	void setKnowledge(const FeedKnowledge& _knowledge);
 	void setMembers(const std::vector<std::string>& _members);
 	void setRetryBounds(double _share, double _burst);
 	void receive(const std::string& _from, const PieceMessage& _message);
 	void peerClosed(const std::string& _peer);
-	/// A planned stop has begun.
-	/// @param[in] _refuseFrom Time point from which on requests are refused that may not be finished by its end.
+	/// Prepares for a planned stop.
+	/// @param[in] _refuseFrom Time point from which requests are refused that may not finish before the stop.
 	/// @param[in] _end Time point at which the process ends.
 	void stopAt(Micros _refuseFrom, Micros _end);
 
-	/// Refuses what was not sent to an endpoint of its own yet, at the end of a planned stop.
+	/// Refuses requests that have not been sent to an endpoint yet; called near the end of a planned stop.
 	void refuseUnsent();
 	[[nodiscard]] std::size_t inFlight() const;
-	/// On thread 0.
+	/// Called on thread 0.
 	[[nodiscard]] std::string metricsText() const;
 
-	/// On thread 0.
-	/// @returns Whether what is known here of routes and endpoints is recent enough to decide about requests.
+	/// Called on thread 0.
+	/// @returns Whether the routes and endpoints are recent enough to handle requests.
 	[[nodiscard]] bool mayHandleNow() const;
 
 private:
@@ -118,20 +119,21 @@
 	const WireFormat& wire;
 	Metrics& metrics;
 	Dispatcher dispatcher;
-	Micros lease; ///< How old routes and endpoints may be that decide about a request.
+	Micros lease; ///< Maximum age of routes and endpoints that are used to handle a request.
 	PieceRunner pieces;
 	std::shared_ptr<const RoutePlan> plan;
 	std::unordered_map<std::uint64_t, ActiveRequestPtr> activeRequests;
-	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceName>>
-		pieceOrders;                                      ///< Request and piece, by order.
-	std::set<std::pair<Micros, std::uint64_t>> deadlines; ///< Of requests whose pieces are being made.
+	/// Request and piece, by order id.
+	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceName>> pieceOrders;
+	/// Requests whose stages run, by the time point at which they are refused.
+	std::set<std::pair<Micros, std::uint64_t>> deadlines;
 	std::map<std::string, double> firstEventTimes; ///< Microseconds from sending to a stream's first event, by pool.
-	std::size_t liveNodes = 1;                     ///< Live nodes, this one among them.
-	Micros refuseFrom = 0;                         ///< Of a planned stop, 0 for none.
-	Micros stopEndsAt = 0;
-	std::uint64_t listingPosition = 0; ///< Position of the listing in use.
-	FeedKnowledge knowledge;           ///< How current routes and endpoints are.
-	Micros lastTickAt = 0;
+	std::size_t liveNodes = 1;                     ///< Number of live nodes, including this one.
+	Micros refuseFrom = 0;                         ///< Time point, 0 unless a planned stop has begun.
+	Micros stopEndsAt = 0;                         ///< Time point at which the process ends.
+	std::uint64_t listingPosition = 0;             ///< Position of the endpoint listing in use.
+	FeedKnowledge knowledge;                       ///< How current the routes and endpoints are.
+	Micros lastTickAt = 0;                         ///< Time point, 0 before the first tick.
 	std::uint64_t lastRequest = 0;
 	std::uint64_t lastOrder = 0;
 	std::atomic<std::size_t> activeCount{0};
