--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -69,8 +69,8 @@
 	{
 		std::visit(Overloaded{[&](const StartReading&) { this->startReading(); },
 							  [&](const StopReading&) { this->stopReading(); },
-							  [&](const SendFeedAsk& _ask) { this->send(_ask.to, _ask.message); },
-							  [&](const SendFeedNews& _news) { this->send(_news.to, _news.message); },
+							  [&](const SendFeedAsk& _request) { this->send(_request.to, _request.message); },
+							  [&](const SendFeedNews& _response) { this->send(_response.to, _response.message); },
 							  [&](const DecodeRoutes& _routes) { this->applyRecord(_routes.from, _routes.record); },
 							  [&](const AskNext&) { this->perform(this->exchange.ask(monotonicNow())); },
 							  [&](const EndpointsChanged&) { this->publishEndpoints(); }},
@@ -79,9 +79,9 @@
 }
 
 /// Tells ForwardTraffic how current its routes and endpoints are; called after these were passed to it.
-void ForwardControl::publishKnowledge()
+void ForwardControl::publishFreshness()
 {
-	this->traffic.setKnowledge(this->exchange.knowledge(monotonicNow()));
+	this->traffic.setFreshness(this->exchange.knowledge(monotonicNow()));
 }
 
 void ForwardControl::startReading()
@@ -112,7 +112,7 @@
 		}
 	}
 	this->exchange.routesRead(_reading.knownAt);
-	this->publishKnowledge();
+	this->publishFreshness();
 }
 
 void ForwardControl::applyPlan(const RoutesUpdate& _read, const std::string& _source)
@@ -186,7 +186,7 @@
 		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kMaxUnreadableLogged}});
 	}
 	this->perform(this->exchange.endpointsRead(read, monotonicNow()));
-	this->publishKnowledge();
+	this->publishFreshness();
 }
 
 void ForwardControl::publishEndpoints()
@@ -229,42 +229,42 @@
 	this->sendAll(this->membership.tick(now));
 	this->publishMembers();
 	this->perform(this->exchange.tick(now));
-	this->publishKnowledge();
+	this->publishFreshness();
 	this->routeLoop.setWait(this->exchange.routesWait());
 	this->queryPeers(now);
 }
 
-void ForwardControl::onFeedAsk(const std::string& _peer, const FeedAsk& _ask)
+void ForwardControl::onFeedRequest(const std::string& _peer, const FeedAsk& _request)
 {
-	this->perform(this->exchange.onAsk(_peer, _ask, monotonicNow()));
+	this->perform(this->exchange.onAsk(_peer, _request, monotonicNow()));
 }
 
-/// Logs a feed update that is not empty: its age according to the sender, the time since it was requested, and the
-/// versions that this node holds already.
-void ForwardControl::logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const
+/// Logs a feed response that carries changes: its age according to the sender, the time since the request, and the
+/// versions that this node already holds.
+void ForwardControl::logFeedResponse(const std::string& _peer, const FeedNews& _response, Micros _now) const
 {
-	const DirectoryChanges& endpoints = _news.endpoints;
-	if (_news.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
+	const DirectoryChanges& endpoints = _response.endpoints;
+	if (_response.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
 	{
 		return;
 	}
 	logEvent("feed", "news",
 			 {{"peer", _peer},
-			  {"since_asked_ms", (_now - _news.answers) / kMillisecond},
-			  {"read_ms_ago", _news.age ? *_news.age / kMillisecond : -1},
-			  {"record_bytes", _news.record.size()},
-			  {"version", _news.version},
+			  {"since_asked_ms", (_now - _response.answers) / kMillisecond},
+			  {"read_ms_ago", _response.age ? *_response.age / kMillisecond : -1},
+			  {"record_bytes", _response.record.size()},
+			  {"version", _response.version},
 			  {"version_held", this->plan == nullptr ? 0 : this->plan->data().version},
 			  {"listing", endpoints.position},
 			  {"listing_held", this->exchange.endpoints().position()}});
 }
 
-void ForwardControl::onFeedNews(const std::string& _peer, const FeedNews& _news)
+void ForwardControl::onFeedResponse(const std::string& _peer, const FeedNews& _response)
 {
 	const Micros now = monotonicNow();
-	this->logNews(_peer, _news, now);
-	this->perform(this->exchange.onNews(_peer, _news, now));
-	this->publishKnowledge();
+	this->logFeedResponse(_peer, _response, now);
+	this->perform(this->exchange.onNews(_peer, _response, now));
+	this->publishFreshness();
 }
 
 /// Asks one other node, in turn, for routes and endpoints while the platform does not answer.
@@ -283,29 +283,29 @@
 	}
 	this->nextPeerQueryAt = _now + kPeerQueryInterval;
 	this->peerQueryCount += 1;
-	RoutesAsk ask;
-	ask.version = this->exchange.routes().version;
-	ask.endpoints = !this->exchange.ready();
-	this->send(peers[this->peerQueryCount % peers.size()], ask);
+	RoutesAsk request;
+	request.version = this->exchange.routes().version;
+	request.endpoints = !this->exchange.ready();
+	this->send(peers[this->peerQueryCount % peers.size()], request);
 }
 
-void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask)
+void ForwardControl::onRoutesRequest(const std::string& _peer, const RoutesAsk& _request)
 {
 	const HeldRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
-	RoutesGive give;
-	if (routes.version > _ask.version)
+	RoutesGive response;
+	if (routes.version > _request.version)
 	{
-		give.record = routes.record;
+		response.record = routes.record;
 	}
-	if (_ask.endpoints)
+	if (_request.endpoints)
 	{
-		give.endpoints = directory.changesSince(0).listed;
+		response.endpoints = directory.changesSince(0).listed;
 	}
-	give.leaving.assign(directory.leaving().begin(), directory.leaving().end());
-	if (!give.record.empty() || !give.endpoints.empty() || !give.leaving.empty())
+	response.leaving.assign(directory.leaving().begin(), directory.leaving().end());
+	if (!response.record.empty() || !response.endpoints.empty() || !response.leaving.empty())
 	{
-		this->send(_peer, give);
+		this->send(_peer, response);
 	}
 }
 
@@ -325,13 +325,13 @@
 	}
 }
 
-void ForwardControl::onRoutesGive(const std::string& _peer, const RoutesGive& _give)
+void ForwardControl::onRoutesResponse(const std::string& _peer, const RoutesGive& _response)
 {
-	if (!_give.record.empty())
+	if (!_response.record.empty())
 	{
-		this->applyRecord(_peer, _give.record);
+		this->applyRecord(_peer, _response.record);
 	}
-	this->perform(this->exchange.learn(_give.endpoints, _give.leaving, monotonicNow()));
+	this->perform(this->exchange.learn(_response.endpoints, _response.leaving, monotonicNow()));
 }
 
 void ForwardControl::sendAll(const std::vector<SendGossip>& _messages)
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -42,10 +42,10 @@
 
 	/// Handlers for messages from other nodes.
 	void onGossip(const std::string& _peer, const Gossip& _message);
-	void onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask);
-	void onRoutesGive(const std::string& _peer, const RoutesGive& _give);
-	void onFeedAsk(const std::string& _peer, const FeedAsk& _ask);
-	void onFeedNews(const std::string& _peer, const FeedNews& _news);
+	void onRoutesRequest(const std::string& _peer, const RoutesAsk& _request);
+	void onRoutesResponse(const std::string& _peer, const RoutesGive& _response);
+	void onFeedRequest(const std::string& _peer, const FeedAsk& _request);
+	void onFeedResponse(const std::string& _peer, const FeedNews& _response);
 
 	/// Announces to other nodes that this node leaves.
 	void leave();
@@ -60,12 +60,12 @@
 	void onRoutes(const FeedReading& _reading);
 	void onEndpoints(const FeedReading& _reading);
 	void logListed(const ListedEndpoint& _listed) const;
-	void logNews(const std::string& _peer, const FeedNews& _news, Micros _now) const;
+	void logFeedResponse(const std::string& _peer, const FeedNews& _response, Micros _now) const;
 	void applyRecord(const std::string& _peer, const std::string& _record);
 	void applyPlan(const RoutesUpdate& _read, const std::string& _source);
 	void publishEndpoints();
 	void publishMembers();
-	void publishKnowledge();
+	void publishFreshness();
 	void logLateTick(Micros _now);
 	void tick();
 	void queryPeers(Micros _now);
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -198,13 +198,13 @@
 			[&](const Gossip& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onGossip(_peer, _typed); }); },
 			[&](const RoutesAsk& _typed)
-			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesAsk(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesRequest(_peer, _typed); }); },
 			[&](const RoutesGive& _typed)
-			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesGive(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesResponse(_peer, _typed); }); },
 			[&](const FeedAsk& _typed)
-			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedRequest(_peer, _typed); }); },
 			[&](const FeedNews& _typed)
-			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedNews(_peer, _typed); }); },
+			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedResponse(_peer, _typed); }); },
 			[&](const PieceAsk& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceGive& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceDrop& _typed) { this->traffic->receive(_peer, _typed); },
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -174,20 +174,20 @@
 	this->pieces.free(active->graph.takeSpent());
 }
 
-void ForwardTraffic::onPieceMade(const PieceMade& _made)
+void ForwardTraffic::onPieceCompleted(const PieceMade& _completed)
 {
-	const auto found = this->pieceOrders.find(_made.order);
+	const auto found = this->pieceOrders.find(_completed.order);
 	if (found == this->pieceOrders.end())
 	{
-		this->pieces.free({_made.handle});
+		this->pieces.free({_completed.handle});
 		return;
 	}
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
 	const ActiveRequestPtr active = this->findActive(request);
-	active->orders.erase(_made.order);
-	active->graph.made(piece, _made.handle);
-	active->resultDomains[_made.handle] = _made.failureDomain;
+	active->orders.erase(_completed.order);
+	active->graph.made(piece, _completed.handle);
+	active->resultDomains[_completed.handle] = _completed.failureDomain;
 	this->pieces.free(active->graph.takeSpent());
 	if (active->graph.complete())
 	{
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -75,7 +75,7 @@
 	  lease(_settings.lease),
 	  pieces(_client, _wire, PieceScheduler(_settings.self, _settings.pieces),
 			 PieceHandlers{[this](const PieceStarted& _started) { this->onPieceStarted(_started); },
-						   [this](const PieceMade& _made) { this->onPieceMade(_made); },
+						   [this](const PieceMade& _completed) { this->onPieceCompleted(_completed); },
 						   [this](const PieceFailed& _failed) { this->onPieceFailed(_failed); }, std::move(_send)})
 {
 }
@@ -108,9 +108,9 @@
 					});
 }
 
-void ForwardTraffic::setKnowledge(const FeedKnowledge& _knowledge)
+void ForwardTraffic::setFreshness(const FeedKnowledge& _freshness)
 {
-	this->pool.post(0, [this, _knowledge] { this->knowledge = _knowledge; });
+	this->pool.post(0, [this, _freshness] { this->freshness = _freshness; });
 }
 
 void ForwardTraffic::setMembers(const std::vector<std::string>& _members)
@@ -185,20 +185,20 @@
 	counters.retries = this->retryCount;
 	const Micros now = monotonicNow();
 	return absl::StrCat(this->metrics.text(counters, this->activeCount),
-						ageGauge("roadferry_routes_age_seconds", this->knowledge.routesAt, now),
-						ageGauge("roadferry_listing_age_seconds", this->knowledge.listingAt, now));
+						ageGauge("roadferry_routes_age_seconds", this->freshness.routesAt, now),
+						ageGauge("roadferry_listing_age_seconds", this->freshness.listingAt, now));
 }
 
 /// Returns the age of the routes in use, -1 while unknown.
 LogField ForwardTraffic::routesAgeField(Micros _now) const
 {
-	return {"routes_age_ms", this->knowledge.routesAt == 0 ? -1 : (_now - this->knowledge.routesAt) / kMillisecond};
+	return {"routes_age_ms", this->freshness.routesAt == 0 ? -1 : (_now - this->freshness.routesAt) / kMillisecond};
 }
 
 /// Returns the age of the endpoint listing in use, -1 while unknown.
 LogField ForwardTraffic::listingAgeField(Micros _now) const
 {
-	return {"listing_age_ms", this->knowledge.listingAt == 0 ? -1 : (_now - this->knowledge.listingAt) / kMillisecond};
+	return {"listing_age_ms", this->freshness.listingAt == 0 ? -1 : (_now - this->freshness.listingAt) / kMillisecond};
 }
 
 void ForwardTraffic::refuse(const std::string& _id, const std::string& _target,
@@ -218,7 +218,7 @@
 
 bool ForwardTraffic::mayHandleNow() const
 {
-	return mayHandle(this->knowledge, monotonicNow(), this->lease);
+	return mayHandle(this->freshness, monotonicNow(), this->lease);
 }
 
 void ForwardTraffic::handle(HttpRequest _request, const std::shared_ptr<HttpReply>& _reply)
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -58,7 +58,7 @@
 	/// @param[in] _position Position of the listing in the platform's log; only logged.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
 	/// Sets how current routes and endpoints are. Called after setPlan() and setEndpoints().
-	void setKnowledge(const FeedKnowledge& _knowledge);
+	void setFreshness(const FeedKnowledge& _freshness);
 	void setMembers(const std::vector<std::string>& _members);
 	void setRetryBounds(double _share, double _burst);
 	void receive(const std::string& _from, const PieceMessage& _message);
@@ -89,7 +89,7 @@
 	[[nodiscard]] std::int64_t downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const;
 	[[nodiscard]] std::string preferredDomain(const ActiveRequest& _active, std::size_t _stage) const;
 	void onPieceStarted(const PieceStarted& _started);
-	void onPieceMade(const PieceMade& _made);
+	void onPieceCompleted(const PieceMade& _completed);
 	void onPieceFailed(const PieceFailed& _failed);
 	void rerunStages(const ActiveRequestPtr& _active);
 	void recordFirstEventTime(const ActiveRequest& _active);
@@ -132,7 +132,7 @@
 	Micros refuseFrom = 0;                         ///< Time point, 0 unless a planned stop has begun.
 	Micros stopEndsAt = 0;                         ///< Time point at which the process ends.
 	std::uint64_t listingPosition = 0;             ///< Position of the endpoint listing in use.
-	FeedKnowledge knowledge;                       ///< How current the routes and endpoints are.
+	FeedKnowledge freshness;                       ///< How current the routes and endpoints are.
 	Micros lastTickAt = 0;                         ///< Time point, 0 before the first tick.
 	std::uint64_t lastRequest = 0;
 	std::uint64_t lastOrder = 0;
