--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -20,8 +20,9 @@
 namespace
 {
 
-constexpr double kMaxRetryAfterShare = 1.0 / 3; ///< Longest Retry-After, as a share of the request's time limit.
-constexpr double kRetryAfterMinFactor = 0.5;    ///< Range of the Retry-After, as shares of the longest one.
+/// Longest Retry-After that clients accept, as a share of their timeout.
+constexpr double kMaxRetryAfterShare = 1.0 / 3;
+constexpr double kRetryAfterMinFactor = 0.5; ///< Range of the Retry-After, as shares of the longest one.
 constexpr double kRetryAfterMaxFactor = 0.95;
 constexpr std::uint64_t kRetryAfterSteps = 1'000;
 /// Reduction of the permitted wait per priority step, so that less urgent requests are refused first and the backlog
@@ -70,10 +71,11 @@
 /// that the requests of one burst do not all return at once, and most return after the burst.
 Micros ForwardTraffic::jitteredRetryAfter(const ActiveRequest& _active)
 {
-	const double latest = static_cast<double>(_active.deadline - _active.arrivedAt) * kMaxRetryAfterShare;
-	const std::uint64_t draw = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kRetryAfterSteps;
-	const double part = static_cast<double>(draw) / static_cast<double>(kRetryAfterSteps);
-	return static_cast<Micros>(latest * (kRetryAfterMinFactor + (kRetryAfterMaxFactor - kRetryAfterMinFactor) * part));
+	const double longest = static_cast<double>(_active.deadline - _active.arrivedAt) * kMaxRetryAfterShare;
+	const std::uint64_t step = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kRetryAfterSteps;
+	const double fraction = static_cast<double>(step) / static_cast<double>(kRetryAfterSteps);
+	return static_cast<Micros>(longest *
+							   (kRetryAfterMinFactor + (kRetryAfterMaxFactor - kRetryAfterMinFactor) * fraction));
 }
 
 /// Returns the bytes transferred from a stage's results to the pieces that use them: each such piece fetches all
@@ -122,15 +124,15 @@
 {
 	const RouteStage& stage = _active.route.stages[_piece.stage];
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
-	const Micros stages = staged.timeAfter(_piece.stage);
-	const Micros after = stages + this->firstEventTime(_active.pool);
+	const Micros laterStages = staged.timeAfter(_piece.stage);
+	const Micros untilFirstEvent = laterStages + this->firstEventTime(_active.pool);
 	PieceOrder order;
 	order.request = _active.request.id;
 	order.name = _piece;
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
-	order.deadline = std::min(_active.stagesDeadline - stages, _active.deadline - after);
-	order.due = _active.arrivedAt + _active.route.target - after;
+	order.deadline = std::min(_active.stagesDeadline - laterStages, _active.deadline - untilFirstEvent);
+	order.due = _active.arrivedAt + _active.route.target - untilFirstEvent;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
 	order.nearDomain = this->preferredDomain(_active, _piece.stage);
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -269,8 +269,8 @@
 	active->priority = workspace != nullptr ? workspace->priority.value_or(route->priority) : route->priority;
 	active->arrivedAt = now;
 	active->deadline = now + limit;
-	const Micros patience = route->eventPatience > 0 ? std::min(limit, route->eventPatience) : limit;
-	active->stagesDeadline = now + static_cast<Micros>(kStagesTimeShare * static_cast<double>(patience));
+	const Micros waitLimit = route->eventPatience > 0 ? std::min(limit, route->eventPatience) : limit;
+	active->stagesDeadline = now + static_cast<Micros>(kStagesTimeShare * static_cast<double>(waitLimit));
 	this->beginRequest(active);
 }
 
@@ -456,19 +456,19 @@
 	_active->currentAttempt = 0;
 	_active->call.reset();
 	const bool inputsNeeded = !_active->route.stages.empty() && !_active->graph.results().empty();
-	const bool again = !answered && inputsNeeded && ((head && head->inputGone) || _active->inputsFreed);
-	if (!again)
+	const bool needsRerun = !answered && inputsNeeded && ((head && head->inputGone) || _active->inputsFreed);
+	if (!needsRerun)
 	{
 		this->perform(this->dispatcher.attemptEnded(_attempt, end, monotonicNow()));
 		return;
 	}
 	const bool mayRepeat = _active->route.repeatable || (head && head->notRun);
-	const bool possible =
+	const bool canRerun =
 		mayRepeat && _active->attempts < _active->route.attempts && _active->stageReruns < kMaxStageReruns;
-	_active->submitted = !possible;
-	this->perform(possible ? this->dispatcher.cancel(_active->id, monotonicNow())
+	_active->submitted = !canRerun;
+	this->perform(canRerun ? this->dispatcher.cancel(_active->id, monotonicNow())
 						   : this->dispatcher.attemptEnded(_attempt, end, monotonicNow()));
-	if (possible)
+	if (canRerun)
 	{
 		this->rerunStages(_active);
 	}
