--- a/src/adapter.h
+++ b/src/adapter.h
@@ -94,7 +94,7 @@
 	[[nodiscard]] virtual HttpRequest makeBatchRequest(const StartBatch& _batch, Micros _now) const = 0;
 
 	/// @param[in] _pieces Number of pieces in the batch.
-	/// @returns The results of the pieces, or BatchCut for a response that cannot be used.
+	/// @returns The results of the pieces, or BatchFailed for a response that cannot be used.
 	[[nodiscard]] virtual BatchEnd parseBatchResponse(const CallEnd& _end, std::size_t _pieces) const = 0;
 
 	/// @returns The HTTP request that tells an endpoint to free results.
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -58,7 +58,7 @@
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
-	const Micros slack = _active.route.target - staged.timeOfAll() - this->firstEventTime(_active.pool);
+	const Micros slack = _active.route.target - staged.totalTime() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
 	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kSlackReductionPerPriority * rank));
 	// A request with clearly less time than its route allows has most likely been refused before, so it is not
@@ -120,7 +120,7 @@
 	return this->downstreamBytes(_active, _stage) >= kLargeResultBytes ? _active.homeDomain : std::string();
 }
 
-PieceOrder ForwardTraffic::makeOrder(const ActiveRequest& _active, const PieceName& _piece) const
+PieceOrder ForwardTraffic::makeOrder(const ActiveRequest& _active, const PieceIndex& _piece) const
 {
 	const RouteStage& stage = _active.route.stages[_piece.stage];
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
@@ -128,14 +128,14 @@
 	const Micros untilFirstEvent = laterStages + this->firstEventTime(_active.pool);
 	PieceOrder order;
 	order.request = _active.request.id;
-	order.name = _piece;
+	order.index = _piece;
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
 	order.deadline = std::min(_active.stagesDeadline - laterStages, _active.deadline - untilFirstEvent);
 	order.due = _active.arrivedAt + _active.route.target - untilFirstEvent;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
-	order.nearDomain = this->preferredDomain(_active, _piece.stage);
+	order.preferredDomain = this->preferredDomain(_active, _piece.stage);
 	return order;
 }
 
@@ -144,12 +144,12 @@
 	const bool first = !std::exchange(_active->admissionRequested, true);
 	std::optional<AdmissionTerms> terms = first ? std::optional(this->makeAdmissionTerms(*_active)) : std::nullopt;
 	std::map<std::string, std::vector<PieceOrder>> byPool;
-	for (const PieceName& piece : _active->graph.takeReady())
+	for (const PieceIndex& piece : _active->graph.takeReady())
 	{
 		PieceOrder order = this->makeOrder(*_active, piece);
-		order.order = ++this->lastOrder;
-		_active->orders.insert(order.order);
-		this->pieceOrders.emplace(order.order, std::make_pair(_active->id, piece));
+		order.orderId = ++this->lastOrder;
+		_active->orders.insert(order.orderId);
+		this->pieceOrders.emplace(order.orderId, std::make_pair(_active->id, piece));
 		byPool[_active->route.stages[piece.stage].pool].push_back(std::move(order));
 	}
 	for (const auto& entry : byPool)
@@ -158,27 +158,27 @@
 				 {{"request", _active->request.id},
 				  {"pool", entry.first},
 				  {"pieces", entry.second.size()},
-				  {"first_stage", entry.second.front().name.stage},
+				  {"first_stage", entry.second.front().index.stage},
 				  {"waited_ms", (monotonicNow() - _active->arrivedAt) / kMillisecond}});
-		this->pieces.order(entry.first, entry.second, std::exchange(terms, std::nullopt));
+		this->pieces.submit(entry.first, entry.second, std::exchange(terms, std::nullopt));
 	}
 }
 
 void ForwardTraffic::onPieceStarted(const PieceStarted& _started)
 {
-	const auto found = this->pieceOrders.find(_started.order);
+	const auto found = this->pieceOrders.find(_started.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		return;
 	}
 	const ActiveRequestPtr active = this->findActive(found->second.first);
-	active->graph.started(found->second.second);
-	this->pieces.free(active->graph.takeSpent());
+	active->graph.markStarted(found->second.second);
+	this->pieces.free(active->graph.takeUnneeded());
 }
 
-void ForwardTraffic::onPieceCompleted(const PieceMade& _completed)
+void ForwardTraffic::onPieceCompleted(const PieceCompleted& _completed)
 {
-	const auto found = this->pieceOrders.find(_completed.order);
+	const auto found = this->pieceOrders.find(_completed.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		this->pieces.free({_completed.handle});
@@ -187,11 +187,11 @@
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
 	const ActiveRequestPtr active = this->findActive(request);
-	active->orders.erase(_completed.order);
-	active->graph.made(piece, _completed.handle);
+	active->orders.erase(_completed.orderId);
+	active->graph.markCompleted(piece, _completed.handle);
 	active->resultDomains[_completed.handle] = _completed.failureDomain;
-	this->pieces.free(active->graph.takeSpent());
-	if (active->graph.complete())
+	this->pieces.free(active->graph.takeUnneeded());
+	if (active->graph.isComplete())
 	{
 		this->submit(active);
 		return;
@@ -201,7 +201,7 @@
 
 void ForwardTraffic::onPieceFailed(const PieceFailed& _failed)
 {
-	const auto found = this->pieceOrders.find(_failed.order);
+	const auto found = this->pieceOrders.find(_failed.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		return;
@@ -209,7 +209,7 @@
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
 	const ActiveRequestPtr active = this->findActive(request);
-	active->orders.erase(_failed.order);
+	active->orders.erase(_failed.orderId);
 	logEvent("request", "piece_failed",
 			 {{"request", active->request.id},
 			  {"stage", piece.stage},
@@ -221,7 +221,7 @@
 		this->rerunStages(active);
 		return;
 	}
-	if (_failed.fault == PieceFault::Crowded)
+	if (_failed.fault == PieceFault::NotAdmitted)
 	{
 		// Now it would be late and delay other requests; after the backlog has shrunk it can still be in time.
 		this->giveUp(active, Reason::WouldBeLate, jitteredRetryAfter(*active));
@@ -250,7 +250,7 @@
 		this->pieceOrders.erase(order);
 	}
 	this->pieces.cancel(orders);
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 	_active->graph = StageGraph(_active->route.stages, _active->request.pieceCounts);
 	this->deadlines.emplace(_active->stagesDeadline, _active->id);
 	this->orderPieces(_active);
@@ -284,7 +284,7 @@
 void ForwardTraffic::freeInputs(const ActiveRequestPtr& _active)
 {
 	_active->inputsFreed = true;
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 }
 
 } // namespace roadferry
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -75,7 +75,7 @@
 	  lease(_settings.lease),
 	  pieces(_client, _wire, PieceScheduler(_settings.self, _settings.pieces),
 			 PieceHandlers{[this](const PieceStarted& _started) { this->onPieceStarted(_started); },
-						   [this](const PieceMade& _completed) { this->onPieceCompleted(_completed); },
+						   [this](const PieceCompleted& _completed) { this->onPieceCompleted(_completed); },
 						   [this](const PieceFailed& _failed) { this->onPieceFailed(_failed); }, std::move(_send)})
 {
 }
@@ -297,7 +297,7 @@
 	{
 		return; // The client had already disconnected.
 	}
-	if (_active->graph.complete())
+	if (_active->graph.isComplete())
 	{
 		this->submit(_active);
 		return;
@@ -543,7 +543,7 @@
 	{
 		this->pieces.cancel(orders);
 	}
-	this->pieces.free(_active->graph.takeAll());
+	this->pieces.free(_active->graph.takeRemaining());
 	this->metrics.requestEnded(_active->route.streaming ? "streaming" : "plain", _outcome,
 							   static_cast<double>(took) / kMicrosPerSecond);
 	const ForwardAnswer::StreamTimes& times = _active->answer.times();
--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -85,11 +85,11 @@
 	void beginRequest(const ActiveRequestPtr& _active);
 	ActiveRequestPtr findActive(std::uint64_t _id);
 	void orderPieces(const ActiveRequestPtr& _active);
-	[[nodiscard]] PieceOrder makeOrder(const ActiveRequest& _active, const PieceName& _piece) const;
+	[[nodiscard]] PieceOrder makeOrder(const ActiveRequest& _active, const PieceIndex& _piece) const;
 	[[nodiscard]] std::int64_t downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const;
 	[[nodiscard]] std::string preferredDomain(const ActiveRequest& _active, std::size_t _stage) const;
 	void onPieceStarted(const PieceStarted& _started);
-	void onPieceCompleted(const PieceMade& _completed);
+	void onPieceCompleted(const PieceCompleted& _completed);
 	void onPieceFailed(const PieceFailed& _failed);
 	void rerunStages(const ActiveRequestPtr& _active);
 	void recordFirstEventTime(const ActiveRequest& _active);
@@ -124,7 +124,7 @@
 	std::shared_ptr<const RoutePlan> plan;
 	std::unordered_map<std::uint64_t, ActiveRequestPtr> activeRequests;
 	/// Request and piece, by order id.
-	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceName>> pieceOrders;
+	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceIndex>> pieceOrders;
 	/// Requests whose stages run, by the time point at which they are refused.
 	std::set<std::pair<Micros, std::uint64_t>> deadlines;
 	std::map<std::string, double> firstEventTimes; ///< Microseconds from sending to a stream's first event, by pool.
