--- /dev/null
+++ b/src/endpoint_registry.h
@@ -0,0 +1,87 @@
+/*
+ * Copyright 2026 The roadferry maintainers. All rights reserved.
+ * License: https://opensource.org/licenses/BSD-2-Clause
+ */
+
+/// @file
+/// State of the endpoints of all pools, as seen by one node.
+
+#ifndef ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
+#define ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
+
+#include <roadferry/roadferry.h>
+
+namespace roadferry
+{
+
+/// Capacity and use of one pool.
+struct PoolCapacity
+{
+	double slots = 0;    ///< Slots of all usable endpoints, times the slots factor.
+	double inFlight = 0; ///< Calls in flight on these endpoints, from all nodes.
+	std::size_t usable = 0;
+};
+
+/// Keeps the state of each endpoint and chooses endpoints for calls.
+class EndpointRegistry
+{
+public:
+	explicit EndpointRegistry(const DispatcherConfig& _config);
+
+	void setEndpoints(const std::vector<Endpoint>& _endpoints);
+	void markLeaving(const std::string& _endpoint);
+
+	/// @param[in] _nodes Number of live nodes that use each endpoint.
+	void setNodeCount(std::size_t _nodes);
+	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
+
+	/// Chooses a usable endpoint with a free slot.
+	/// @param[in] _pool Name of the pool.
+	/// @param[in] _prefix Hash of the prompt's prefix, 0 for none.
+	/// @param[in] _avoid Endpoint that failed this stage before, chosen only as a fallback; empty for none.
+	/// @param[in] _domain Failure domain to prefer, empty for none.
+	Placement choose(const std::string& _pool, std::uint64_t _prefix, const std::string& _avoid,
+					 const std::string& _domain, Micros _now);
+
+	/// @returns Failure domain of a prompt prefix's home endpoint, empty if the pool has no usable endpoint.
+	[[nodiscard]] std::string homeDomain(const std::string& _pool, std::uint64_t _prefix, Micros _now) const;
+
+	/// Counts a call to an endpoint as started or ended.
+	/// @param[in] _workUs Predicted service time of the call in microseconds.
+	void recordCallStart(EndpointState& _endpoint, double _workUs, Micros _now);
+	void recordCallEnd(const std::string& _endpoint, double _workUs);
+
+	/// Updates the endpoint's slowness and failure count from the result of a call, and ejects it if it
+	/// fails repeatedly or is too slow.
+	void recordSuccess(const std::string& _endpoint, double _measuredOverPredicted, Micros _now);
+	void recordFailure(const std::string& _endpoint, Micros _now);
+
+	[[nodiscard]] PoolCapacity capacity(const std::string& _pool, Micros _now) const;
+	[[nodiscard]] bool hasLiveEndpoint(const std::string& _pool) const;
+	[[nodiscard]] std::vector<EndpointState> states() const;
+
+private:
+	struct Pool
+	{
+		std::vector<EndpointState*> members;
+		std::size_t roundRobinCounter = 0;
+	};
+
+	[[nodiscard]] EndpointState* find(const std::string& _endpoint);
+	[[nodiscard]] bool hasFreeSlot(const EndpointState& _endpoint) const;
+	[[nodiscard]] bool mayEject(const std::string& _pool, Micros _now) const;
+	void eject(EndpointState& _endpoint, Micros _now);
+	void rebuildPools();
+
+	DispatcherConfig config;
+	std::size_t nodeCount = 1;
+	const PlacementPolicy* policy;
+	std::minstd_rand random;
+	std::unordered_map<std::string, std::unique_ptr<EndpointState>> endpoints;
+	std::unordered_map<std::string, Pool> pools;
+	std::set<std::string> leavingIds; ///< Ids of leaving endpoints; never removed.
+};
+
+} // namespace roadferry
+
+#endif // ROADFERRY_ENDPOINT_REGISTRY_H_HEADER_GUARD
--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -116,7 +116,7 @@
 	}
 	if (_end.result == CallResult::Cut || !this->currentHead)
 	{
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	if (this->currentHead->notRun)
 	{
@@ -126,7 +126,7 @@
 	{
 		if (this->streamInvalid || this->splitter.hasPartialEvent())
 		{
-			return AttemptCut{};
+			return AttemptInterrupted{};
 		}
 		this->startStream();
 		return AttemptAnswered{};
@@ -134,18 +134,18 @@
 	const unsigned status = this->currentHead->status;
 	if (status < kFirstErrorStatus && !this->isUsable())
 	{
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	if (this->streamStarted || (impliesNotRun(status) && !this->repeatable))
 	{
 		// An error response cannot follow a stream that has begun. A status that tells the client that the request has
 		// not run must not be passed on either, since the endpoint did not state that.
-		return AttemptCut{};
+		return AttemptInterrupted{};
 	}
 	this->keptHead = this->currentHead;
 	this->keptBody = _end.body.empty() ? this->body : _end.body;
 	const bool mayRetry = status >= kFirstServerErrorStatus && this->repeatable;
-	return mayRetry ? AttemptEnd(AttemptCut{}) : AttemptEnd(AttemptAnswered{});
+	return mayRetry ? AttemptEnd(AttemptInterrupted{}) : AttemptEnd(AttemptAnswered{});
 }
 
 void ForwardAnswer::deliver()
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -119,7 +119,7 @@
 					[this, _members]
 					{
 						this->liveNodes = std::max<std::size_t>(1, _members.size());
-						this->dispatcher.setNodes(_members.size());
+						this->dispatcher.setNodeCount(_members.size());
 						this->pieces.setMembers(_members);
 					});
 }
@@ -237,7 +237,7 @@
 	}
 	if (!this->mayHandleNow())
 	{
-		this->refuse(decoded->id, target, _reply, kUnavailable, std::string(nameOf(Reason::Stale)),
+		this->refuse(decoded->id, target, _reply, kUnavailable, std::string(nameOf(Reason::RoutesStale)),
 					 "this node does not know of the newest routes");
 		return;
 	}
@@ -315,7 +315,7 @@
 {
 	if (!this->mayHandleNow())
 	{
-		this->giveUp(_active, Reason::Stale, kOtherNodeRetryAfter);
+		this->giveUp(_active, Reason::RoutesStale, kOtherNodeRetryAfter);
 		return;
 	}
 	_active->submitted = true;
@@ -329,8 +329,8 @@
 					 _active->request.promptTokens,
 					 _active->request.maxTokens,
 					 _active->prefixHash};
-	spec.repeat = _active->attempts > 0;
-	spec.nearDomain = _active->prefixHash == 0 ? this->resultsDomain(*_active) : std::string();
+	spec.isRetry = _active->attempts > 0;
+	spec.preferredDomain = _active->prefixHash == 0 ? this->resultsDomain(*_active) : std::string();
 	PipelineRow pipeline;
 	pipeline.name = route.name;
 	pipeline.workspace = _active->workspace;
@@ -394,7 +394,7 @@
 	spec.request = this->wire.makeEndpointRequest(active->request, attempt);
 	spec.timeout = active->deadline - now + kCallTimeoutSlack;
 	spec.connectTimeout = kConnectTimeout;
-	spec.fresh = _attempt.once;
+	spec.fresh = _attempt.atMostOnce;
 	spec.noticeSilence = active->route.repeatable;
 	spec.keepAtMost = maxIdleConnections(active->plan->pool(active->pool), this->liveNodes);
 	CallHandlers handlers;
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Budget that keeps retries to a share of first attempts.
+/// Budget that limits retries to a fraction of the first attempts.
 
 #ifndef ROADFERRY_RETRY_BUDGET_H_HEADER_GUARD
 #define ROADFERRY_RETRY_BUDGET_H_HEADER_GUARD
@@ -14,44 +14,45 @@
 namespace roadferry
 {
 
-/// Each first attempt earns a part of a retry; each retry costs one.
+/// Each first attempt earns a fraction of a retry; each retry costs one.
 class RetryBudget
 {
 public:
 	/// @param[in] _share Retries earned by one first attempt.
-	/// @param[in] _burst Most retries saved up; the budget begins full.
-	RetryBudget(double _share, double _burst) : share(_share), burst(_burst), saved(_burst)
+	/// @param[in] _burst Maximum number of accumulated retries; the budget starts full.
+	RetryBudget(double _share, double _burst) : share(_share), burst(_burst), available(_burst)
 	{
 	}
 
-	void firstAttempt()
+	void recordFirstAttempt()
 	{
-		this->saved = std::min(this->burst, this->saved + this->share);
+		this->available = std::min(this->burst, this->available + this->share);
 	}
 
-	/// @returns Whether a retry may be made; if so it is paid for.
-	bool takeRetry()
+	/// Takes one retry from the budget if there is one.
+	/// @returns Whether the retry may be made.
+	bool tryTakeRetry()
 	{
-		if (this->saved < 1)
+		if (this->available < 1)
 		{
 			return false;
 		}
-		this->saved -= 1;
+		this->available -= 1;
 		return true;
 	}
 
-	/// Changes the bounds; what is saved up shrinks at once where the bound does.
+	/// Changes the limits. Accumulated retries above the new maximum are discarded at once.
 	void setBounds(double _share, double _burst)
 	{
 		this->share = _share;
 		this->burst = _burst;
-		this->saved = std::min(this->saved, _burst);
+		this->available = std::min(this->available, _burst);
 	}
 
 private:
 	double share;
 	double burst;
-	double saved;
+	double available;
 };
 
 } // namespace roadferry
