--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -37,12 +37,12 @@
 							   std::function<void(const RoutePlan&)> _onPlan)
 	: feed(_feed), traffic(_traffic), settings(std::move(_settings)), send(std::move(_send)),
 	  onPlan(std::move(_onPlan)),
-	  routeLoop(_feed, FeedTopic::Routes, FeedPace{settings.relay.routesWait, 0},
-				FeedHandlers{[this](const FeedReading& _reading) { this->onRoutes(_reading); },
-							 [this] { this->exchange.readingFailed(FeedTopic::Routes); }}),
+	  routeLoop(_feed, FeedTopic::Routes, FeedPollTiming{settings.relay.routesPollWait, 0},
+				FeedHandlers{[this](const FeedReadResult& _result) { this->onRoutes(_result); },
+							 [this] { this->exchange.onReadFailed(FeedTopic::Routes); }}),
 	  endpointLoop(_feed, FeedTopic::Endpoints, settings.endpoints,
-				   FeedHandlers{[this](const FeedReading& _reading) { this->onEndpoints(_reading); },
-								[this] { this->exchange.readingFailed(FeedTopic::Endpoints); }}),
+				   FeedHandlers{[this](const FeedReadResult& _result) { this->onEndpoints(_result); },
+								[this] { this->exchange.onReadFailed(FeedTopic::Endpoints); }}),
 	  membership(settings.self, static_cast<std::uint64_t>(wallNanoseconds() / kNanosPerMicro), MembershipConfig{},
 				 randomNumber()),
 	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // Fits a signed CBOR integer.
@@ -69,10 +69,10 @@
 	{
 		std::visit(Overloaded{[&](const StartReading&) { this->startReading(); },
 							  [&](const StopReading&) { this->stopReading(); },
-							  [&](const SendFeedAsk& _request) { this->send(_request.to, _request.message); },
-							  [&](const SendFeedNews& _response) { this->send(_response.to, _response.message); },
+							  [&](const SendFeedRequest& _request) { this->send(_request.to, _request.message); },
+							  [&](const SendFeedResponse& _response) { this->send(_response.to, _response.message); },
 							  [&](const DecodeRoutes& _routes) { this->applyRecord(_routes.from, _routes.record); },
-							  [&](const AskNext&) { this->perform(this->exchange.ask(monotonicNow())); },
+							  [&](const RequestNext&) { this->perform(this->exchange.requestNext(monotonicNow())); },
 							  [&](const EndpointsChanged&) { this->publishEndpoints(); }},
 				   action);
 	}
@@ -81,7 +81,7 @@
 /// Tells ForwardTraffic how current its routes and endpoints are; called after these were passed to it.
 void ForwardControl::publishFreshness()
 {
-	this->traffic.setFreshness(this->exchange.knowledge(monotonicNow()));
+	this->traffic.setFreshness(this->exchange.freshness(monotonicNow()));
 }
 
 void ForwardControl::startReading()
@@ -98,9 +98,9 @@
 	this->endpointLoop.stop();
 }
 
-void ForwardControl::onRoutes(const FeedReading& _reading)
+void ForwardControl::onRoutes(const FeedReadResult& _result)
 {
-	for (const FeedChange& change : _reading.page.changes)
+	for (const FeedChange& change : _result.page.changes)
 	{
 		if (const auto* read = std::get_if<RoutesUpdate>(&change))
 		{
@@ -111,7 +111,7 @@
 			logEvent("control", "routes_unreadable", {{"name", fault->name}, {"fault", fault->fault}});
 		}
 	}
-	this->exchange.routesRead(_reading.knownAt);
+	this->exchange.onRoutesRead(_result.asOf);
 	this->publishFreshness();
 }
 
@@ -125,7 +125,7 @@
 	this->plan = _read.plan;
 	this->membership.setTableOffset(version);
 	this->traffic.setPlan(this->plan);
-	this->perform(this->exchange.holdRoutes(HeldRoutes{version, packRecord(_read.record)}));
+	this->perform(this->exchange.setRoutes(EncodedRoutes{version, packRecord(_read.record)}));
 	this->onPlan(*this->plan);
 	logEvent("control", "routes_in_force",
 			 {{"version", version},
@@ -150,11 +150,11 @@
 			  {"leaving", _listed.endpoint.leaving}});
 }
 
-void ForwardControl::onEndpoints(const FeedReading& _reading)
+void ForwardControl::onEndpoints(const FeedReadResult& _result)
 {
-	ListingRead read{_reading.page.next, _reading.whole, _reading.knownAt, {}};
+	ListingRead read{_result.page.next, _result.isSnapshot, _result.asOf, {}};
 	std::size_t unreadable = 0;
-	for (const FeedChange& change : _reading.page.changes)
+	for (const FeedChange& change : _result.page.changes)
 	{
 		std::visit(
 			Overloaded{
@@ -185,7 +185,7 @@
 	{
 		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kMaxUnreadableLogged}});
 	}
-	this->perform(this->exchange.endpointsRead(read, monotonicNow()));
+	this->perform(this->exchange.onEndpointsRead(read, monotonicNow()));
 	this->publishFreshness();
 }
 
@@ -230,18 +230,18 @@
 	this->publishMembers();
 	this->perform(this->exchange.tick(now));
 	this->publishFreshness();
-	this->routeLoop.setWait(this->exchange.routesWait());
+	this->routeLoop.setPollWait(this->exchange.routesPollWait());
 	this->queryPeers(now);
 }
 
-void ForwardControl::onFeedRequest(const std::string& _peer, const FeedAsk& _request)
+void ForwardControl::onFeedRequest(const std::string& _peer, const FeedRequest& _request)
 {
-	this->perform(this->exchange.onAsk(_peer, _request, monotonicNow()));
+	this->perform(this->exchange.onFeedRequest(_peer, _request, monotonicNow()));
 }
 
 /// Logs a feed response that carries changes: its age according to the sender, the time since the request, and the
 /// versions that this node already holds.
-void ForwardControl::logFeedResponse(const std::string& _peer, const FeedNews& _response, Micros _now) const
+void ForwardControl::logFeedResponse(const std::string& _peer, const FeedResponse& _response, Micros _now) const
 {
 	const DirectoryChanges& endpoints = _response.endpoints;
 	if (_response.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
@@ -250,7 +250,7 @@
 	}
 	logEvent("feed", "news",
 			 {{"peer", _peer},
-			  {"since_asked_ms", (_now - _response.answers) / kMillisecond},
+			  {"since_asked_ms", (_now - _response.requestSentAt) / kMillisecond},
 			  {"read_ms_ago", _response.age ? *_response.age / kMillisecond : -1},
 			  {"record_bytes", _response.record.size()},
 			  {"version", _response.version},
@@ -259,18 +259,18 @@
 			  {"listing_held", this->exchange.endpoints().position()}});
 }
 
-void ForwardControl::onFeedResponse(const std::string& _peer, const FeedNews& _response)
+void ForwardControl::onFeedResponse(const std::string& _peer, const FeedResponse& _response)
 {
 	const Micros now = monotonicNow();
 	this->logFeedResponse(_peer, _response, now);
-	this->perform(this->exchange.onNews(_peer, _response, now));
+	this->perform(this->exchange.onFeedResponse(_peer, _response, now));
 	this->publishFreshness();
 }
 
 /// Asks one other node, in turn, for routes and endpoints while the platform does not answer.
 void ForwardControl::queryPeers(Micros _now)
 {
-	if (!this->exchange.away() || _now < this->nextPeerQueryAt)
+	if (!this->exchange.unavailable() || _now < this->nextPeerQueryAt)
 	{
 		return;
 	}
@@ -291,7 +291,7 @@
 
 void ForwardControl::onRoutesRequest(const std::string& _peer, const RoutesAsk& _request)
 {
-	const HeldRoutes& routes = this->exchange.routes();
+	const EncodedRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
 	RoutesGive response;
 	if (routes.version > _request.version)
@@ -331,7 +331,7 @@
 	{
 		this->applyRecord(_peer, _response.record);
 	}
-	this->perform(this->exchange.learn(_response.endpoints, _response.leaving, monotonicNow()));
+	this->perform(this->exchange.mergePeerEndpoints(_response.endpoints, _response.leaving, monotonicNow()));
 }
 
 void ForwardControl::sendAll(const std::vector<SendGossip>& _messages)
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -25,7 +25,7 @@
 	double retrySlack = 20;         ///< Additional retries in each window, over all nodes together.
 	DirectoryConfig directory;
 	FeedRelayConfig relay;
-	FeedPace endpoints{0, 600 * kMillisecond};
+	FeedPollTiming endpoints{0, 600 * kMillisecond};
 };
 
 /// Keeps routes, endpoints and members up to date and passes immutable copies to ForwardTraffic.
@@ -44,8 +44,8 @@
 	void onGossip(const std::string& _peer, const Gossip& _message);
 	void onRoutesRequest(const std::string& _peer, const RoutesAsk& _request);
 	void onRoutesResponse(const std::string& _peer, const RoutesGive& _response);
-	void onFeedRequest(const std::string& _peer, const FeedAsk& _request);
-	void onFeedResponse(const std::string& _peer, const FeedNews& _response);
+	void onFeedRequest(const std::string& _peer, const FeedRequest& _request);
+	void onFeedResponse(const std::string& _peer, const FeedResponse& _response);
 
 	/// Announces to other nodes that this node leaves.
 	void leave();
@@ -57,10 +57,10 @@
 	void perform(const FeedActions& _actions);
 	void startReading();
 	void stopReading();
-	void onRoutes(const FeedReading& _reading);
-	void onEndpoints(const FeedReading& _reading);
+	void onRoutes(const FeedReadResult& _result);
+	void onEndpoints(const FeedReadResult& _result);
 	void logListed(const ListedEndpoint& _listed) const;
-	void logFeedResponse(const std::string& _peer, const FeedNews& _response, Micros _now) const;
+	void logFeedResponse(const std::string& _peer, const FeedResponse& _response, Micros _now) const;
 	void applyRecord(const std::string& _peer, const std::string& _record);
 	void applyPlan(const RoutesUpdate& _read, const std::string& _source);
 	void publishEndpoints();
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -158,9 +158,9 @@
 	HttpServerLimits http = this->settings.http;
 	http.headerBytes = static_cast<std::size_t>(limits.headerBytes);
 	http.bodyBytes = static_cast<std::size_t>(limits.bodyBytes);
-	http.headerTimeout = limits.headerTime;
+	http.headerTimeout = limits.headerTimeout;
 	http.requestTimeout = kBodyTimeout;
-	http.idleTimeout = limits.idleTime;
+	http.idleTimeout = limits.idleTimeout;
 	this->server->setLimits(http);
 }
 
@@ -201,9 +201,9 @@
 			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesRequest(_peer, _typed); }); },
 			[&](const RoutesGive& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesResponse(_peer, _typed); }); },
-			[&](const FeedAsk& _typed)
+			[&](const FeedRequest& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedRequest(_peer, _typed); }); },
-			[&](const FeedNews& _typed)
+			[&](const FeedResponse& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedResponse(_peer, _typed); }); },
 			[&](const PieceSubmit& _typed) { this->traffic->receive(_peer, _typed); },
 			[&](const PieceUpdate& _typed) { this->traffic->receive(_peer, _typed); },
--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -58,7 +58,7 @@
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
-	const Micros slack = _active.route.target - staged.totalTime() - this->firstEventTime(_active.pool);
+	const Micros slack = _active.route.latencyTarget - staged.totalTime() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
 	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kSlackReductionPerPriority * rank));
 	// A request with clearly less time than its route allows has most likely been refused before, so it is not
@@ -132,7 +132,7 @@
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
 	order.deadline = std::min(_active.stagesDeadline - laterStages, _active.deadline - untilFirstEvent);
-	order.due = _active.arrivedAt + _active.route.target - untilFirstEvent;
+	order.due = _active.arrivedAt + _active.route.latencyTarget - untilFirstEvent;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
 	order.preferredDomain = this->preferredDomain(_active, _piece.stage);
@@ -215,7 +215,7 @@
 			  {"stage", piece.stage},
 			  {"piece", piece.piece},
 			  {"fault", std::string(nameOf(_failed.fault))}});
-	const bool inTime = monotonicNow() < active->arrivedAt + active->route.target;
+	const bool inTime = monotonicNow() < active->arrivedAt + active->route.latencyTarget;
 	if (_failed.fault == PieceFault::InputGone && active->stageReruns < kMaxStageReruns && inTime)
 	{
 		this->rerunStages(active);
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -108,7 +108,7 @@
 					});
 }
 
-void ForwardTraffic::setFreshness(const FeedKnowledge& _freshness)
+void ForwardTraffic::setFreshness(const FeedFreshness& _freshness)
 {
 	this->pool.post(0, [this, _freshness] { this->freshness = _freshness; });
 }
@@ -185,20 +185,21 @@
 	counters.retries = this->retryCount;
 	const Micros now = monotonicNow();
 	return absl::StrCat(this->metrics.text(counters, this->activeCount),
-						ageGauge("roadferry_routes_age_seconds", this->freshness.routesAt, now),
-						ageGauge("roadferry_listing_age_seconds", this->freshness.listingAt, now));
+						ageGauge("roadferry_routes_age_seconds", this->freshness.routesAsOf, now),
+						ageGauge("roadferry_listing_age_seconds", this->freshness.listingAsOf, now));
 }
 
 /// Returns the age of the routes in use, -1 while unknown.
 LogField ForwardTraffic::routesAgeField(Micros _now) const
 {
-	return {"routes_age_ms", this->freshness.routesAt == 0 ? -1 : (_now - this->freshness.routesAt) / kMillisecond};
+	return {"routes_age_ms", this->freshness.routesAsOf == 0 ? -1 : (_now - this->freshness.routesAsOf) / kMillisecond};
 }
 
 /// Returns the age of the endpoint listing in use, -1 while unknown.
 LogField ForwardTraffic::listingAgeField(Micros _now) const
 {
-	return {"listing_age_ms", this->freshness.listingAt == 0 ? -1 : (_now - this->freshness.listingAt) / kMillisecond};
+	return {"listing_age_ms",
+			this->freshness.listingAsOf == 0 ? -1 : (_now - this->freshness.listingAsOf) / kMillisecond};
 }
 
 void ForwardTraffic::refuse(const std::string& _id, const std::string& _target,
@@ -218,7 +219,7 @@
 
 bool ForwardTraffic::mayHandleNow() const
 {
-	return mayHandle(this->freshness, monotonicNow(), this->lease);
+	return isFeedLeaseValid(this->freshness, monotonicNow(), this->lease);
 }
 
 void ForwardTraffic::handle(HttpRequest _request, const std::shared_ptr<HttpReply>& _reply)
@@ -269,7 +270,7 @@
 	active->priority = workspace != nullptr ? workspace->priority.value_or(route->priority) : route->priority;
 	active->arrivedAt = now;
 	active->deadline = now + limit;
-	const Micros waitLimit = route->eventPatience > 0 ? std::min(limit, route->eventPatience) : limit;
+	const Micros waitLimit = route->eventTimeout > 0 ? std::min(limit, route->eventTimeout) : limit;
 	active->stagesDeadline = now + static_cast<Micros>(kStagesTimeShare * static_cast<double>(waitLimit));
 	this->beginRequest(active);
 }
@@ -286,7 +287,7 @@
 			  {"routes_version", _active->plan->data().version},
 			  this->routesAgeField(_active->arrivedAt),
 			  {"patience_ms", (_active->deadline - _active->arrivedAt) / kMillisecond}});
-	_active->pool = drawPool(_active->route, XXH3_64bits(_active->request.id.data(), _active->request.id.size()));
+	_active->pool = choosePool(_active->route, XXH3_64bits(_active->request.id.data(), _active->request.id.size()));
 	_active->prefixHash = hashSharedPrefix(_active->request.prompt);
 	if (_active->prefixHash != 0)
 	{
@@ -340,8 +341,8 @@
 	stage.kind = route.streaming ? StageKind::Engine : StageKind::Service;
 	stage.pool = _active->pool;
 	stage.repeatable = route.repeatable;
-	stage.attempts = route.attempts - _active->attempts;
-	stage.expectedMs = std::max<std::int64_t>(1, route.target / kMillisecond / 2);
+	stage.attempts = route.maxAttempts - _active->attempts;
+	stage.expectedMs = std::max<std::int64_t>(1, route.latencyTarget / kMillisecond / 2);
 	this->perform(this->dispatcher.submit(spec, pipeline, {stage}, monotonicNow()));
 }
 
@@ -368,11 +369,12 @@
 
 std::size_t maxIdleConnections(const PoolSpec* _pool, std::size_t _nodes)
 {
-	if (_pool == nullptr || _pool->connections <= 0)
+	if (_pool == nullptr || _pool->maxConnections <= 0)
 	{
 		return CallSpec{}.keepAtMost;
 	}
-	const double share = kIdleConnectionShare * static_cast<double>(_pool->connections) / static_cast<double>(_nodes);
+	const double share =
+		kIdleConnectionShare * static_cast<double>(_pool->maxConnections) / static_cast<double>(_nodes);
 	return std::min(CallSpec{}.keepAtMost, static_cast<std::size_t>(share));
 }
 
@@ -464,7 +466,7 @@
 	}
 	const bool mayRepeat = _active->route.repeatable || (head && head->notRun);
 	const bool canRerun =
-		mayRepeat && _active->attempts < _active->route.attempts && _active->stageReruns < kMaxStageReruns;
+		mayRepeat && _active->attempts < _active->route.maxAttempts && _active->stageReruns < kMaxStageReruns;
 	_active->submitted = !canRerun;
 	this->perform(canRerun ? this->dispatcher.cancel(_active->id, monotonicNow())
 						   : this->dispatcher.attemptEnded(_attempt, end, monotonicNow()));
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -93,7 +93,7 @@
 };
 
 using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord, Farewell,
-								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedAsk, FeedNews,
+								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedRequest, FeedResponse,
 								 PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
 /// @returns The message as CBOR.
