--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the cutting of streams into events.
+/// Implementation of EventSplitter.
 
 #include "event_stream.h"
 
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr std::size_t kEventLimit = 1024 * 1024; ///< Bytes; engines' events hold a few tokens.
+constexpr std::size_t kEventLimit = 1024 * 1024; ///< Longest event in bytes; events of engines hold a few tokens.
 
-/// @returns Position behind the first empty line at or after a position, npos when there is none.
+/// @returns Position after the first empty line at or after _from, npos when there is none.
 std::size_t endOfEvent(const std::string& _text, std::size_t _from)
 {
 	const std::size_t plain = _text.find("\n\n", _from);
@@ -32,30 +32,30 @@
 
 } // namespace
 
-std::vector<std::string> EventSplitter::take(std::string_view _bytes)
+std::vector<std::string> EventSplitter::append(std::string_view _bytes)
 {
-	this->held.append(_bytes);
+	this->buffer.append(_bytes);
 	std::vector<std::string> events;
 	std::size_t begin = 0;
-	std::size_t end = endOfEvent(this->held, begin);
+	std::size_t end = endOfEvent(this->buffer, begin);
 	while (end != std::string::npos)
 	{
-		events.push_back(this->held.substr(begin, end - begin));
+		events.push_back(this->buffer.substr(begin, end - begin));
 		begin = end;
-		end = endOfEvent(this->held, begin);
+		end = endOfEvent(this->buffer, begin);
 	}
-	this->held.erase(0, begin);
+	this->buffer.erase(0, begin);
 	return events;
 }
 
-bool EventSplitter::hasPart() const
+bool EventSplitter::hasPartialEvent() const
 {
-	return !this->held.empty();
+	return !this->buffer.empty();
 }
 
-bool EventSplitter::overflown() const
+bool EventSplitter::exceedsLimit() const
 {
-	return this->held.size() > kEventLimit;
+	return this->buffer.size() > kEventLimit;
 }
 
 } // namespace roadferry
--- a/src/feed_loop.cpp
+++ b/src/feed_loop.cpp
@@ -92,12 +92,12 @@
 	};
 	if (!this->position)
 	{
-		this->feed.readWhole(this->topic, whenDone(true));
+		this->feed.readSnapshot(this->topic, whenDone(true));
 		return;
 	}
 	this->requestedWait = this->nextPollWait();
 	const Micros limit = this->lastReadFailed() ? kRecoveryTimeout : kResponseTimeout;
-	this->feed.readFrom(this->topic, *this->position, this->requestedWait, limit, whenDone(false));
+	this->feed.readChanges(this->topic, *this->position, this->requestedWait, limit, whenDone(false));
 }
 
 Micros FeedLoop::nextPollWait() const
--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the control state of a node that forwards.
+/// Implementation of ForwardControl.
 
 #include "forward_control.h"
 
@@ -20,13 +20,15 @@
 {
 
 constexpr int kTickMs = 200;
-constexpr Micros kLateWorthALine = 300 * kMillisecond; ///< Of a tick of this thread.
-constexpr Micros kAskEvery = 400 * kMillisecond; ///< Between two questions to other nodes while the platform is away.
+constexpr Micros kLateTickLogThreshold = 300 * kMillisecond; ///< Lateness of a tick that is logged.
+/// Between two queries to other nodes while the platform does not answer.
+constexpr Micros kPeerQueryInterval = 400 * kMillisecond;
 constexpr std::int64_t kNanosPerMicro = 1'000;
-/// Part of the retries that all nodes together are allowed: views of who is alive differ for seconds.
-constexpr double kRetryCaution = 0.6;
-constexpr std::size_t kUnreadableLogged = 5; ///< Entries of one reading that get a line each.
-constexpr std::size_t kFewestNodes = 3;      ///< Assumed until the members are known.
+/// Share of the retries allowed to all nodes together that they use, since their views of the live members may differ
+/// for seconds.
+constexpr double kRetrySafetyFactor = 0.6;
+constexpr std::size_t kMaxUnreadableLogged = 5; ///< Unreadable entries of one read that are logged individually.
+constexpr std::size_t kMinNodes = 3;            ///< Lower bound of the node count, used until the members are known.
 
 } // namespace
 
@@ -36,14 +38,14 @@
 	: feed(_feed), traffic(_traffic), settings(std::move(_settings)), send(std::move(_send)),
 	  onPlan(std::move(_onPlan)),
 	  routeLoop(_feed, FeedTopic::Routes, FeedPollTiming{settings.relay.routesPollWait, 0},
-				FeedHandlers{[this](const FeedReadResult& _reading) { this->onRoutes(_reading); },
+				FeedHandlers{[this](const FeedReadResult& _result) { this->onRoutes(_result); },
 							 [this] { this->exchange.onReadFailed(FeedTopic::Routes); }}),
 	  endpointLoop(_feed, FeedTopic::Endpoints, settings.endpoints,
-				   FeedHandlers{[this](const FeedReadResult& _reading) { this->onEndpoints(_reading); },
+				   FeedHandlers{[this](const FeedReadResult& _result) { this->onEndpoints(_result); },
 								[this] { this->exchange.onReadFailed(FeedTopic::Endpoints); }}),
 	  membership(settings.self, static_cast<std::uint64_t>(wallNanoseconds() / kNanosPerMicro), MembershipConfig{},
 				 randomNumber()),
-	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // CBOR's numbers have a sign.
+	  exchange(settings.self, settings.relay, settings.directory, randomNumber() >> 1) // Fits a signed CBOR integer.
 {
 	QObject::connect(&this->timer, &QTimer::timeout, [this] { this->tick(); });
 }
@@ -67,19 +69,19 @@
 	{
 		std::visit(Overloaded{[&](const StartReading&) { this->startReading(); },
 							  [&](const StopReading&) { this->stopReading(); },
-							  [&](const SendFeedRequest& _ask) { this->send(_ask.to, _ask.message); },
-							  [&](const SendFeedResponse& _news) { this->send(_news.to, _news.message); },
-							  [&](const DecodeRoutes& _routes) { this->takeRecord(_routes.from, _routes.record); },
+							  [&](const SendFeedRequest& _request) { this->send(_request.to, _request.message); },
+							  [&](const SendFeedResponse& _response) { this->send(_response.to, _response.message); },
+							  [&](const DecodeRoutes& _routes) { this->applyRecord(_routes.from, _routes.record); },
 							  [&](const RequestNext&) { this->perform(this->exchange.requestNext(monotonicNow())); },
 							  [&](const EndpointsChanged&) { this->publishEndpoints(); }},
 				   action);
 	}
 }
 
-/// Tells the traffic how current what it was handed is; called when all of it was handed over.
-void ForwardControl::publishKnowledge()
+/// Tells ForwardTraffic how current its routes and endpoints are; called after these were passed to it.
+void ForwardControl::publishFreshness()
 {
-	this->traffic.setKnowledge(this->exchange.freshness(monotonicNow()));
+	this->traffic.setFreshness(this->exchange.freshness(monotonicNow()));
 }
 
 void ForwardControl::startReading()
@@ -96,29 +98,29 @@
 	this->endpointLoop.stop();
 }
 
-void ForwardControl::onRoutes(const FeedReadResult& _reading)
+void ForwardControl::onRoutes(const FeedReadResult& _result)
 {
-	for (const FeedChange& change : _reading.page.changes)
+	for (const FeedChange& change : _result.page.changes)
 	{
-		if (const auto* read = std::get_if<RoutesRead>(&change))
+		if (const auto* read = std::get_if<RoutesUpdate>(&change))
 		{
-			this->takePlan(*read, "platform");
+			this->applyPlan(*read, "platform");
 		}
 		else if (const auto* fault = std::get_if<UnreadableEntry>(&change))
 		{
 			logEvent("control", "routes_unreadable", {{"name", fault->name}, {"fault", fault->fault}});
 		}
 	}
-	this->exchange.onRoutesRead(_reading.asOf);
-	this->publishKnowledge();
+	this->exchange.onRoutesRead(_result.asOf);
+	this->publishFreshness();
 }
 
-void ForwardControl::takePlan(const RoutesRead& _read, const std::string& _source)
+void ForwardControl::applyPlan(const RoutesUpdate& _read, const std::string& _source)
 {
 	const std::uint64_t version = _read.plan->data().version;
 	if (this->plan != nullptr && version <= this->plan->data().version)
 	{
-		return; // A copy that took longer; versions in force never go back.
+		return; // A delayed copy; the version in force never decreases.
 	}
 	this->plan = _read.plan;
 	this->membership.setTableOffset(version);
@@ -133,7 +135,7 @@
 			  {"workspaces", this->plan->data().workspaces.size()}});
 }
 
-/// One line for an entry that says something new.
+/// Logs an entry of the listing if it changes what is known.
 void ForwardControl::logListed(const ListedEndpoint& _listed) const
 {
 	if (!this->exchange.endpoints().differs(_listed))
@@ -148,15 +150,15 @@
 			  {"leaving", _listed.endpoint.leaving}});
 }
 
-void ForwardControl::onEndpoints(const FeedReadResult& _reading)
+void ForwardControl::onEndpoints(const FeedReadResult& _result)
 {
-	ListingRead read{_reading.page.next, _reading.isSnapshot, _reading.asOf, {}};
+	ListingRead read{_result.page.next, _result.isSnapshot, _result.asOf, {}};
 	std::size_t unreadable = 0;
-	for (const FeedChange& change : _reading.page.changes)
+	for (const FeedChange& change : _result.page.changes)
 	{
 		std::visit(
 			Overloaded{
-				[](const RoutesRead&) {},
+				[](const RoutesUpdate&) {},
 				[&](const ListedEndpoint& _listed)
 				{
 					read.changes.emplace_back(_listed);
@@ -171,7 +173,7 @@
 				{
 					read.changes.emplace_back(UnusableEntry{_fault.name, _fault.position});
 					unreadable += 1;
-					if (unreadable <= kUnreadableLogged)
+					if (unreadable <= kMaxUnreadableLogged)
 					{
 						logEvent("control", "endpoint_unreadable", {{"name", _fault.name}, {"fault", _fault.fault}});
 					}
@@ -179,12 +181,12 @@
 			},
 			change);
 	}
-	if (unreadable > kUnreadableLogged)
+	if (unreadable > kMaxUnreadableLogged)
 	{
-		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kUnreadableLogged}});
+		logEvent("control", "more_endpoints_unreadable", {{"entries", unreadable - kMaxUnreadableLogged}});
 	}
 	this->perform(this->exchange.onEndpointsRead(read, monotonicNow()));
-	this->publishKnowledge();
+	this->publishFreshness();
 }
 
 void ForwardControl::publishEndpoints()
@@ -202,19 +204,19 @@
 	}
 	this->members = alive;
 	this->exchange.setMembers(alive);
-	const auto nodes = static_cast<double>(std::max(kFewestNodes, alive.size()));
+	const auto nodes = static_cast<double>(std::max(kMinNodes, alive.size()));
 	this->traffic.setMembers(alive);
-	this->traffic.setRetryBounds(this->settings.retryShare * kRetryCaution,
-								 this->settings.retrySlack * kRetryCaution / nodes);
+	this->traffic.setRetryBounds(this->settings.retryShare * kRetrySafetyFactor,
+								 this->settings.retrySlack * kRetrySafetyFactor / nodes);
 	logEvent("control", "members", {{"alive", alive.size()}, {"retry_burst_of", static_cast<std::int64_t>(nodes)}});
 }
 
-/// Says so when this thread does not get a processor, or has too much to do.
-void ForwardControl::noteLateness(Micros _now)
+/// Logs a late tick: this thread got no CPU time or is overloaded.
+void ForwardControl::logLateTick(Micros _now)
 {
-	const Micros late = this->tickedAt == 0 ? 0 : _now - this->tickedAt - kTickMs * kMillisecond;
-	this->tickedAt = _now;
-	if (late >= kLateWorthALine)
+	const Micros late = this->lastTickAt == 0 ? 0 : _now - this->lastTickAt - kTickMs * kMillisecond;
+	this->lastTickAt = _now;
+	if (late >= kLateTickLogThreshold)
 	{
 		logEvent("control", "thread_late", {{"late_ms", late / kMillisecond}});
 	}
@@ -223,52 +225,52 @@
 void ForwardControl::tick()
 {
 	const Micros now = monotonicNow();
-	this->noteLateness(now);
-	this->carry(this->membership.tick(now));
+	this->logLateTick(now);
+	this->sendAll(this->membership.tick(now));
 	this->publishMembers();
 	this->perform(this->exchange.tick(now));
-	this->publishKnowledge();
+	this->publishFreshness();
 	this->routeLoop.setPollWait(this->exchange.routesPollWait());
-	this->askPeers(now);
+	this->queryPeers(now);
 }
 
-void ForwardControl::onFeedAsk(const std::string& _peer, const FeedRequest& _ask)
+void ForwardControl::onFeedRequest(const std::string& _peer, const FeedRequest& _request)
 {
-	this->perform(this->exchange.onFeedRequest(_peer, _ask, monotonicNow()));
+	this->perform(this->exchange.onFeedRequest(_peer, _request, monotonicNow()));
 }
 
-/// One line for all news that bring something: how old it is by its sender's word and by the way that it took, and
-/// whether it was known here already.
-void ForwardControl::logNews(const std::string& _peer, const FeedResponse& _news, Micros _now) const
+/// Logs a feed response that carries changes: its age according to the sender, the time since the request, and the
+/// versions that this node already holds.
+void ForwardControl::logFeedResponse(const std::string& _peer, const FeedResponse& _response, Micros _now) const
 {
-	const DirectoryChanges& endpoints = _news.endpoints;
-	if (_news.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
+	const DirectoryChanges& endpoints = _response.endpoints;
+	if (_response.record.empty() && endpoints.listed.empty() && endpoints.unlisted.empty())
 	{
 		return;
 	}
 	logEvent("feed", "news",
 			 {{"peer", _peer},
-			  {"since_asked_ms", (_now - _news.requestSentAt) / kMillisecond},
-			  {"read_ms_ago", _news.age ? *_news.age / kMillisecond : -1},
-			  {"record_bytes", _news.record.size()},
-			  {"version", _news.version},
+			  {"since_asked_ms", (_now - _response.requestSentAt) / kMillisecond},
+			  {"read_ms_ago", _response.age ? *_response.age / kMillisecond : -1},
+			  {"record_bytes", _response.record.size()},
+			  {"version", _response.version},
 			  {"version_held", this->plan == nullptr ? 0 : this->plan->data().version},
 			  {"listing", endpoints.position},
 			  {"listing_held", this->exchange.endpoints().position()}});
 }
 
-void ForwardControl::onFeedNews(const std::string& _peer, const FeedResponse& _news)
+void ForwardControl::onFeedResponse(const std::string& _peer, const FeedResponse& _response)
 {
 	const Micros now = monotonicNow();
-	this->logNews(_peer, _news, now);
-	this->perform(this->exchange.onFeedResponse(_peer, _news, now));
-	this->publishKnowledge();
+	this->logFeedResponse(_peer, _response, now);
+	this->perform(this->exchange.onFeedResponse(_peer, _response, now));
+	this->publishFreshness();
 }
 
-/// While the platform is away, or has not answered yet, other nodes may know more.
-void ForwardControl::askPeers(Micros _now)
+/// Asks one other node, in turn, for routes and endpoints while the platform does not answer.
+void ForwardControl::queryPeers(Micros _now)
 {
-	if (!this->exchange.unavailable() || _now < this->askAt)
+	if (!this->exchange.unavailable() || _now < this->nextPeerQueryAt)
 	{
 		return;
 	}
@@ -279,43 +281,43 @@
 	{
 		return;
 	}
-	this->askAt = _now + kAskEvery;
-	this->askTurn += 1;
-	RoutesAsk ask;
-	ask.version = this->exchange.routes().version;
-	ask.endpoints = !this->exchange.ready();
-	this->send(peers[this->askTurn % peers.size()], ask);
+	this->nextPeerQueryAt = _now + kPeerQueryInterval;
+	this->peerQueryCount += 1;
+	RoutesAsk request;
+	request.version = this->exchange.routes().version;
+	request.endpoints = !this->exchange.ready();
+	this->send(peers[this->peerQueryCount % peers.size()], request);
 }
 
-void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask)
+void ForwardControl::onRoutesRequest(const std::string& _peer, const RoutesAsk& _request)
 {
 	const EncodedRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
-	RoutesGive give;
-	if (routes.version > _ask.version)
+	RoutesGive response;
+	if (routes.version > _request.version)
 	{
-		give.record = routes.record;
+		response.record = routes.record;
 	}
-	if (_ask.endpoints)
+	if (_request.endpoints)
 	{
-		give.endpoints = directory.changesSince(0).listed;
+		response.endpoints = directory.changesSince(0).listed;
 	}
-	give.leaving.assign(directory.leaving().begin(), directory.leaving().end());
-	if (!give.record.empty() || !give.endpoints.empty() || !give.leaving.empty())
+	response.leaving.assign(directory.leaving().begin(), directory.leaving().end());
+	if (!response.record.empty() || !response.endpoints.empty() || !response.leaving.empty())
 	{
-		this->send(_peer, give);
+		this->send(_peer, response);
 	}
 }
 
-/// Takes routes that another node has passed on.
-void ForwardControl::takeRecord(const std::string& _peer, const std::string& _record)
+/// Decodes and applies routes received from another node.
+void ForwardControl::applyRecord(const std::string& _peer, const std::string& _record)
 {
 	const absl::StatusOr<std::string> text = unpackRecord(_record);
-	const absl::StatusOr<RoutesRead> read =
-		text.ok() ? this->feed.readRecord(*text) : absl::StatusOr<RoutesRead>(text.status());
+	const absl::StatusOr<RoutesUpdate> read =
+		text.ok() ? this->feed.decodeRecord(*text) : absl::StatusOr<RoutesUpdate>(text.status());
 	if (read.ok())
 	{
-		this->takePlan(*read, _peer);
+		this->applyPlan(*read, _peer);
 	}
 	else
 	{
@@ -323,16 +325,16 @@
 	}
 }
 
-void ForwardControl::onRoutesGive(const std::string& _peer, const RoutesGive& _give)
+void ForwardControl::onRoutesResponse(const std::string& _peer, const RoutesGive& _response)
 {
-	if (!_give.record.empty())
+	if (!_response.record.empty())
 	{
-		this->takeRecord(_peer, _give.record);
+		this->applyRecord(_peer, _response.record);
 	}
-	this->perform(this->exchange.mergePeerEndpoints(_give.endpoints, _give.leaving, monotonicNow()));
+	this->perform(this->exchange.mergePeerEndpoints(_response.endpoints, _response.leaving, monotonicNow()));
 }
 
-void ForwardControl::carry(const std::vector<SendGossip>& _messages)
+void ForwardControl::sendAll(const std::vector<SendGossip>& _messages)
 {
 	for (const SendGossip& message : _messages)
 	{
@@ -342,13 +344,13 @@
 
 void ForwardControl::onGossip(const std::string& _peer, const Gossip& _message)
 {
-	this->carry(this->membership.receive(_peer, _message, monotonicNow()));
+	this->sendAll(this->membership.receive(_peer, _message, monotonicNow()));
 	this->publishMembers();
 }
 
 void ForwardControl::leave()
 {
-	this->carry(this->membership.leave());
+	this->sendAll(this->membership.leave());
 }
 
 } // namespace roadferry
