--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -184,7 +184,7 @@
 	counters.attempts = this->attemptCount;
 	counters.retries = this->retryCount;
 	const Micros now = monotonicNow();
-	return absl::StrCat(this->metrics.text(counters, this->activeCount),
+	return absl::StrCat(this->metrics.toPrometheus(counters, this->activeCount),
 						ageGauge("roadferry_routes_age_seconds", this->freshness.routesAsOf, now),
 						ageGauge("roadferry_listing_age_seconds", this->freshness.listingAsOf, now));
 }
@@ -546,8 +546,8 @@
 		this->pieces.cancel(orders);
 	}
 	this->pieces.free(_active->graph.takeRemaining());
-	this->metrics.requestEnded(_active->route.streaming ? "streaming" : "plain", _outcome,
-							   static_cast<double>(took) / kMicrosPerSecond);
+	this->metrics.recordRequest(_active->route.streaming ? "streaming" : "plain", _outcome,
+								static_cast<double>(took) / kMicrosPerSecond);
 	const ForwardAnswer::StreamTimes& times = _active->answer.times();
 	logEvent("request", _event,
 			 {{"request", _active->request.id},
--- a/tests/test_logs.cpp
+++ b/tests/test_logs.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// Logs: bounded, never blocking, without credentials; and the timeline of one request out of several nodes' lines.
+/// Tests of logging, which is rate-limited and does not block, and of the timeline of one request from the logs of
+/// several nodes.
 
 #include "deployment.h"
 #include "log_timeline.h"
@@ -26,7 +27,7 @@
 
 constexpr int kManyLines = 20'000;
 
-/// Reads what is in a pipe without waiting for more.
+/// Reads the available contents of a non-blocking pipe.
 std::string drainPipe(int _descriptor)
 {
 	std::string text;
@@ -42,13 +43,13 @@
 
 } // namespace
 
-Test(logs, full_pipe_holds_nobody_up_and_what_is_left_out_is_counted)
+Test(logs, full_pipe_does_not_block_callers_and_dropped_lines_are_counted)
 {
 	int pipes[2] = {-1, -1};
 	cr_assert_eq(pipe(pipes), 0);
 	const int output = dup(STDOUT_FILENO);
 	fflush(stdout);
-	dup2(pipes[1], STDOUT_FILENO); // Nobody reads: the pipe is full after 64 KB.
+	dup2(pipes[1], STDOUT_FILENO); // The pipe is not read yet and is full after 64 KB.
 	startLogging(LogStream::Output);
 	const auto begin = std::chrono::steady_clock::now();
 	for (int index = 0; index < kManyLines; ++index)
@@ -57,21 +58,21 @@
 	}
 	const auto took = std::chrono::steady_clock::now() - begin;
 	cr_expect_lt(std::chrono::duration_cast<std::chrono::seconds>(took).count(), 10);
-	cr_expect_gt(logLinesLeftOut(), 10'000);
+	cr_expect_gt(droppedLogLines(), 10'000);
 	fcntl(pipes[0], F_SETFL, O_NONBLOCK);
 	std::string text;
-	Deployment::await("lines come once somebody reads",
+	Deployment::await("lines arrive once the pipe is read",
 					  [&]
 					  {
 						  text += drainPipe(pipes[0]);
 						  return absl::StrContains(text, "\"event\":\"line\"");
 					  });
 	dup2(output, STDOUT_FILENO);
-	// The process ends without waiting for the thread that may still write to the pipe.
+	// The process exits without waiting for the log thread, which may still write to the pipe.
 	close(pipes[0]);
 }
 
-Test(logs, story_joins_a_request_with_the_batches_of_its_pieces)
+Test(logs, timeline_includes_the_batches_of_the_request_pieces)
 {
 	std::istringstream logs(
 		R"(n1 {"event":"batch_started","part":"pieces","batch":4,"pieces":"r-1/0/0/300","time":"2026-01-01T00:00:02.000Z"}
@@ -83,7 +84,7 @@
 n1 {"event":"batch_ended","part":"pieces","batch":4,"end":"answered","time":"2026-01-01T00:00:06.000Z"}
 n2 {"event":"answered","part":"request","request":"r-1","took_ms":9,"time":"2026-01-01T00:00:04.000Z"}
 )");
-	const std::vector<std::string> timeline = timelineOf("r-1", logs);
+	const std::vector<std::string> timeline = buildTimeline("r-1", logs);
 	cr_assert_eq(timeline.size(), 4);
 	cr_assert(absl::StrContains(timeline[0], "n2 request/admitted"), "%s", timeline[0].c_str());
 	cr_assert(absl::StrContains(timeline[2], "n1 pieces/batch_ended batch=4 end=answered"), "%s", timeline[2].c_str());
