--- a/include/roadferry/roadferry.h
+++ b/include/roadferry/roadferry.h
@@ -67,8 +67,8 @@
 struct WorkspaceRow
 {
 	std::string name;
-	double weight = 1.0;       ///< Share relative to other workspaces when endpoints are scarce, 0.01 to 1000.
-	std::int64_t inFlight = 0; ///< Most requests in flight over all entry VMs, 0 for no limit.
+	double weight = 1.0;          ///< Share relative to other workspaces when endpoints are scarce, 0.01 to 1000.
+	std::int64_t maxInFlight = 0; ///< Most requests in flight over all entry VMs, 0 for no limit.
 	bool operator==(const WorkspaceRow&) const = default;
 };
 
@@ -90,7 +90,7 @@
 	StageKind kind = StageKind::Service;
 	std::string pool;
 	bool repeatable = true;       ///< False when a second run could do harm, whatever the caller says.
-	std::int64_t attempts = 2;    ///< Most attempts for one request, 1 to 5.
+	std::int64_t maxAttempts = 2; ///< Most attempts for one request, 1 to 5.
 	std::int64_t expectedMs = 50; ///< Service time assumed until some were measured, in milliseconds.
 	bool operator==(const StageRow&) const = default;
 };
@@ -161,7 +161,7 @@
 {
 	RowKey key;
 	std::string field;
-	std::string limit; ///< What the field must be, in words.
+	std::string requirement; ///< What the field must be, in words.
 	bool operator==(const EditInvalid&) const = default;
 };
 
@@ -191,7 +191,7 @@
 	/// Takes over a snapshot if it is newer than what is held; an older one is ignored.
 	/// @param[in] _snapshot State after all records up to its offset.
 	/// @returns Whether the snapshot was taken over.
-	bool adopt(const TableSnapshot& _snapshot);
+	bool installSnapshot(const TableSnapshot& _snapshot);
 
 	/// @returns The state after the last record folded.
 	[[nodiscard]] const TableSnapshot& snapshot() const;
@@ -235,33 +235,33 @@
 };
 
 /// What became of one edit, for operators who ask.
-struct EditHistory
+struct EditHistoryEntry
 {
 	std::uint64_t offset = 0;
 	TableEdit edit;
 	EditOutcome outcome;
-	bool operator==(const EditHistory&) const = default;
+	bool operator==(const EditHistoryEntry&) const = default;
 };
 
 /// Reads a log whose oldest records expire, and keeps the table that results.
 ///
 /// A node that finds records missing waits for a snapshot that covers them, from the log or from another node; until
 /// then its table stays as it was.
-class LogFold
+class TableReplica
 {
 public:
 	/// @returns Offset of the record to read next.
 	[[nodiscard]] std::uint64_t nextOffset() const;
 
 	/// Takes records as the log gave them.
-	/// @param[in] _first Offset of the oldest record that the log still holds.
+	/// @param[in] _oldestOffset Offset of the oldest record that the log still holds.
 	/// @param[in] _entries Records from nextOffset() on, without a gap among them.
 	/// @returns Whether the table has changed.
-	bool take(std::uint64_t _first, const std::vector<LogEntry>& _entries);
+	bool applyEntries(std::uint64_t _oldestOffset, const std::vector<LogEntry>& _entries);
 
 	/// Takes a table that another node holds.
 	/// @returns Whether the table has changed.
-	bool takeSnapshot(const TableSnapshot& _snapshot);
+	bool installSnapshot(const TableSnapshot& _snapshot);
 
 	/// @returns Whether records are missing and no snapshot has covered them yet.
 	[[nodiscard]] bool hasGap() const;
@@ -272,32 +272,32 @@
 	[[nodiscard]] std::optional<EditOutcome> outcomeOf(const std::string& _editId) const;
 
 	/// @returns The latest edits, oldest first.
-	[[nodiscard]] const std::deque<EditHistory>& history() const;
+	[[nodiscard]] const std::deque<EditHistoryEntry>& history() const;
 
 	/// @returns Records since the newest snapshot on the log.
-	[[nodiscard]] std::uint64_t sinceSnapshot() const;
+	[[nodiscard]] std::uint64_t recordsSinceSnapshot() const;
 
 private:
-	void fold(const LogEntry& _entry);
+	void applyEntry(const LogEntry& _entry);
 	bool closeGap(const TableSnapshot& _snapshot);
 
 	Table current;
-	std::uint64_t readTo = 0;      ///< Offset of the last record read, folded or not.
-	std::uint64_t gapEnd = 0;      ///< First offset that is there again after missing ones, 0 for no gap.
-	std::vector<LogEntry> waiting; ///< Records read after the gap.
-	std::deque<EditHistory> edits;
-	std::uint64_t snapshotAt = 0; ///< Offset that the newest snapshot on the log covers.
+	std::uint64_t lastReadOffset = 0;      ///< Offset of the last record read, folded or not.
+	std::uint64_t gapEnd = 0;              ///< First offset that is there again after missing ones, 0 for no gap.
+	std::vector<LogEntry> entriesAfterGap; ///< Records read after the gap.
+	std::deque<EditHistoryEntry> edits;
+	std::uint64_t newestSnapshotOffset = 0; ///< Offset that the newest snapshot on the log covers.
 };
 
 /// Whether a node is to append a snapshot now. Nodes take turns by rank, so that most often one of them does; two
 /// snapshots of the same offset are equal, and do no harm.
-/// @param[in] _sinceSnapshot Records since the newest snapshot.
+/// @param[in] _recordsSinceSnapshot Records since the newest snapshot.
 /// @param[in] _rank This node's place among the live nodes, from 0.
-/// @param[in] _waited Time since the snapshot fell due.
-bool snapshotDue(std::uint64_t _sinceSnapshot, std::size_t _rank, Micros _waited);
+/// @param[in] _dueFor Time since the snapshot fell due.
+bool isSnapshotDue(std::uint64_t _recordsSinceSnapshot, std::size_t _rank, Micros _dueFor);
 
 /// Records after which a snapshot falls due.
-constexpr std::uint64_t kSnapshotEvery = 200;
+constexpr std::uint64_t kRecordsPerSnapshot = 200;
 
 // ---------------------------------------------------------------------------------------------------------------
 // Outcomes and tickets: at most once without a store.
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -52,9 +52,9 @@
 	{
 		const bool workspace = entry.first.kind == RowKind::Workspace && entry.second.row.has_value();
 		const auto* row = workspace ? std::get_if<WorkspaceRow>(&*entry.second.row) : nullptr;
-		if (row != nullptr && row->inFlight > 0)
+		if (row != nullptr && row->maxInFlight > 0)
 		{
-			limits[row->name] = row->inFlight;
+			limits[row->name] = row->maxInFlight;
 		}
 	}
 	this->meter.setLimits(limits);
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -49,16 +49,16 @@
 
 void Control::readLog()
 {
-	this->settleEdits();
-	if (this->readingLog)
+	this->completeEdits();
+	if (this->isReadingLog)
 	{
 		return;
 	}
-	this->readingLog = true;
-	this->platform.readLog(this->fold.nextOffset(),
+	this->isReadingLog = true;
+	this->platform.readLog(this->tableReplica.nextOffset(),
 						   [this](const absl::StatusOr<LogPage>& _page)
 						   {
-							   this->readingLog = false;
+							   this->isReadingLog = false;
 							   this->onLogPage(_page);
 						   });
 }
@@ -67,51 +67,51 @@
 {
 	if (!_page.ok())
 	{
-		this->onLogUnavailable();
+		this->requestTableFromPeer();
 		return;
 	}
-	if (this->fold.take(_page->first, _page->entries))
+	if (this->tableReplica.applyEntries(_page->oldestOffset, _page->entries))
 	{
 		this->publishTable();
 	}
-	this->settleEdits();
-	if (this->fold.nextOffset() < _page->next)
+	this->completeEdits();
+	if (this->tableReplica.nextOffset() < _page->nextOffset)
 	{
 		this->readLog();
 		return;
 	}
-	if (this->fold.hasGap())
+	if (this->tableReplica.hasGap())
 	{
-		this->onLogUnavailable();
+		this->requestTableFromPeer();
 		return;
 	}
 	this->logCaughtUp = true;
-	this->considerSnapshot();
+	this->appendSnapshotIfDue();
 }
 
-void Control::onLogUnavailable()
+void Control::requestTableFromPeer()
 {
 	if (this->peerList.empty())
 	{
 		return;
 	}
 	// One peer at a time, each in its turn.
-	const std::string& peer = this->peerList[this->askTurn++ % this->peerList.size()];
-	this->send(peer, TableAsk{this->fold.table().snapshot().offset});
+	const std::string& peer = this->peerList[this->nextPeer++ % this->peerList.size()];
+	this->send(peer, TableAsk{this->tableReplica.table().snapshot().offset});
 }
 
-void Control::onTableAsk(const std::string& _peer, const TableAsk& _ask)
+void Control::onTableRequest(const std::string& _peer, const TableAsk& _request)
 {
-	const TableSnapshot& snapshot = this->fold.table().snapshot();
-	if (snapshot.offset >= _ask.offset && snapshot.offset > 0)
+	const TableSnapshot& snapshot = this->tableReplica.table().snapshot();
+	if (snapshot.offset >= _request.offset && snapshot.offset > 0)
 	{
 		this->send(_peer, TableGive{toText(toJson(snapshot))});
 	}
 }
 
-void Control::onTableGive(const TableGive& _give)
+void Control::onTableResponse(const TableGive& _response)
 {
-	const auto object = parseObject(_give.snapshot);
+	const auto object = parseObject(_response.snapshot);
 	const auto snapshot = object.ok() ? snapshotFromJson(*object) : object.status();
 	if (!snapshot.ok())
 	{
@@ -119,7 +119,7 @@
 		return;
 	}
 	this->logCaughtUp = true;
-	if (this->fold.takeSnapshot(*snapshot))
+	if (this->tableReplica.installSnapshot(*snapshot))
 	{
 		this->publishTable();
 	}
@@ -127,9 +127,9 @@
 
 void Control::publishTable()
 {
-	this->traffic.setTable(std::make_shared<const Table>(this->fold.table()));
-	this->view.setTable(this->fold.table());
-	logInfo("control", absl::StrCat("table in force at offset ", this->fold.table().snapshot().offset));
+	this->traffic.setTable(std::make_shared<const Table>(this->tableReplica.table()));
+	this->view.setTable(this->tableReplica.table());
+	logInfo("control", absl::StrCat("table in force at offset ", this->tableReplica.table().snapshot().offset));
 }
 
 std::size_t Control::rank() const
@@ -138,41 +138,42 @@
 	return static_cast<std::size_t>(std::lower_bound(alive.begin(), alive.end(), this->self) - alive.begin());
 }
 
-void Control::considerSnapshot()
+void Control::appendSnapshotIfDue()
 {
-	if (this->fold.sinceSnapshot() < kSnapshotEvery)
+	if (this->tableReplica.recordsSinceSnapshot() < kRecordsPerSnapshot)
 	{
-		this->snapshotSince = 0;
+		this->snapshotDueSince = 0;
 		return;
 	}
-	if (this->snapshotSince == 0)
+	if (this->snapshotDueSince == 0)
 	{
-		this->snapshotSince = monotonicNow();
+		this->snapshotDueSince = monotonicNow();
 	}
-	if (!snapshotDue(this->fold.sinceSnapshot(), this->rank(), monotonicNow() - this->snapshotSince))
+	if (!isSnapshotDue(this->tableReplica.recordsSinceSnapshot(), this->rank(),
+					   monotonicNow() - this->snapshotDueSince))
 	{
 		return;
 	}
-	this->snapshotSince = monotonicNow();
-	logInfo("control", absl::StrCat("appending a snapshot of offset ", this->fold.table().snapshot().offset));
-	this->platform.append(recordToText(this->fold.table().snapshot()), [](const absl::Status&) {});
+	this->snapshotDueSince = monotonicNow();
+	logInfo("control", absl::StrCat("appending a snapshot of offset ", this->tableReplica.table().snapshot().offset));
+	this->platform.append(recordToText(this->tableReplica.table().snapshot()), [](const absl::Status&) {});
 }
 
-void Control::edit(const TableEdit& _edit, const EditAnswer& _answer)
+void Control::edit(const TableEdit& _edit, const EditCallback& _callback)
 {
-	if (const auto settled = this->fold.outcomeOf(_edit.id))
+	if (const auto knownOutcome = this->tableReplica.outcomeOf(_edit.id))
 	{
-		_answer(*settled);
+		_callback(*knownOutcome);
 		return;
 	}
 	// What is refused by the rows as they stand needs no record.
-	const EditOutcome foreseen = this->fold.table().check(_edit);
-	if (!std::holds_alternative<EditAccepted>(foreseen))
+	const EditOutcome expected = this->tableReplica.table().check(_edit);
+	if (!std::holds_alternative<EditAccepted>(expected))
 	{
-		_answer(foreseen);
+		_callback(expected);
 		return;
 	}
-	this->waitingEdits.push_back(WaitingEdit{_edit, _answer, monotonicNow() + kEditTimeout});
+	this->pendingEdits.push_back(PendingEdit{_edit, _callback, monotonicNow() + kEditTimeout});
 	this->append(_edit);
 }
 
@@ -193,22 +194,22 @@
 						  });
 }
 
-void Control::settleEdits()
+void Control::completeEdits()
 {
-	std::vector<WaitingEdit> left;
-	std::vector<std::pair<EditAnswer, std::optional<EditOutcome>>> settled;
-	for (WaitingEdit& waiting : this->waitingEdits)
+	std::vector<PendingEdit> remaining;
+	std::vector<std::pair<EditCallback, std::optional<EditOutcome>>> completed;
+	for (PendingEdit& pending : this->pendingEdits)
 	{
-		const auto outcome = this->fold.outcomeOf(waiting.edit.id);
-		if (outcome || monotonicNow() >= waiting.giveUpAt)
+		const auto outcome = this->tableReplica.outcomeOf(pending.edit.id);
+		if (outcome || monotonicNow() >= pending.deadline)
 		{
-			settled.emplace_back(waiting.answer, outcome);
+			completed.emplace_back(pending.callback, outcome);
 			continue;
 		}
-		left.push_back(std::move(waiting));
+		remaining.push_back(std::move(pending));
 	}
-	this->waitingEdits = std::move(left);
-	for (const auto& entry : settled)
+	this->pendingEdits = std::move(remaining);
+	for (const auto& entry : completed)
 	{
 		entry.first(entry.second);
 	}
@@ -236,7 +237,7 @@
 	{
 		if (endpoint.leaving)
 		{
-			this->learnLeaving(endpoint.id, true);
+			this->markLeaving(endpoint.id, true);
 		}
 	}
 	std::vector<Endpoint> used = selectSubset(this->self, _list->endpoints, this->endpointsPerPool);
@@ -252,11 +253,11 @@
 	for (const Endpoint& endpoint : this->endpointList)
 	{
 		this->platform.readLoad(endpoint.address, [this, id = endpoint.id](const absl::StatusOr<LoadReport>& _report)
-								{ this->onLoad(id, _report); });
+								{ this->onLoadReport(id, _report); });
 	}
 }
 
-void Control::onLoad(const std::string& _endpoint, const absl::StatusOr<LoadReport>& _report)
+void Control::onLoadReport(const std::string& _endpoint, const absl::StatusOr<LoadReport>& _report)
 {
 	if (!_report.ok())
 	{
@@ -265,11 +266,11 @@
 	this->traffic.reportLoad(_endpoint, *_report);
 	if (_report->leaving)
 	{
-		this->learnLeaving(_endpoint, true);
+		this->markLeaving(_endpoint, true);
 	}
 }
 
-void Control::learnLeaving(const std::string& _endpoint, bool _tell)
+void Control::markLeaving(const std::string& _endpoint, bool _notifyPeers)
 {
 	if (!this->leaving.insert(_endpoint).second)
 	{
@@ -277,7 +278,7 @@
 	}
 	this->traffic.markLeaving(_endpoint);
 	logInfo("control", absl::StrCat("endpoint ", _endpoint, " is leaving"));
-	if (!_tell)
+	if (!_notifyPeers)
 	{
 		return;
 	}
@@ -287,17 +288,17 @@
 	}
 }
 
-void Control::onLeavingWord(const LeavingWord& _word)
+void Control::onLeavingNotice(const LeavingWord& _notice)
 {
-	for (const std::string& endpoint : _word.endpoints)
+	for (const std::string& endpoint : _notice.endpoints)
 	{
-		this->learnLeaving(endpoint, false);
+		this->markLeaving(endpoint, false);
 	}
 }
 
-const LogFold& Control::log() const
+const TableReplica& Control::replica() const
 {
-	return this->fold;
+	return this->tableReplica;
 }
 
 const std::vector<std::string>& Control::peers() const
@@ -305,7 +306,7 @@
 	return this->peerList;
 }
 
-bool Control::ready() const
+bool Control::isReady() const
 {
 	return this->logCaughtUp && this->vmListRead;
 }
--- a/src/control.h
+++ b/src/control.h
@@ -20,7 +20,7 @@
 {
 
 /// What an operator is told of an edit.
-using EditAnswer = std::function<void(std::optional<EditOutcome>)>;
+using EditCallback = std::function<void(std::optional<EditOutcome>)>;
 
 /// Keeps control state up to date and hands immutable copies to the traffic threads.
 class Control
@@ -35,41 +35,41 @@
 	void start();
 
 	/// Appends an edit and waits until it was read back.
-	/// @param[in] _answer Called with the outcome, or with nothing when the log did not tell in time; the edit may
+	/// @param[in] _callback Called with the outcome, or with nothing when the log did not tell in time; the edit may
 	/// take effect later then.
-	void edit(const TableEdit& _edit, const EditAnswer& _answer);
+	void edit(const TableEdit& _edit, const EditCallback& _callback);
 
 	/// Takes a message of another node.
-	void onTableAsk(const std::string& _peer, const TableAsk& _ask);
-	void onTableGive(const TableGive& _give);
-	void onLeavingWord(const LeavingWord& _word);
+	void onTableRequest(const std::string& _peer, const TableAsk& _request);
+	void onTableResponse(const TableGive& _response);
+	void onLeavingNotice(const LeavingWord& _notice);
 
-	[[nodiscard]] const LogFold& log() const;
+	[[nodiscard]] const TableReplica& replica() const;
 	[[nodiscard]] const std::vector<std::string>& peers() const;
 
 	/// @returns Whether the table and the VM list were read at least once.
-	[[nodiscard]] bool ready() const;
+	[[nodiscard]] bool isReady() const;
 
 private:
-	struct WaitingEdit
+	struct PendingEdit
 	{
 		TableEdit edit;
-		EditAnswer answer;
-		Micros giveUpAt = 0;
+		EditCallback callback;
+		Micros deadline = 0;
 	};
 
 	void readLog();
 	void onLogPage(const absl::StatusOr<LogPage>& _page);
-	void onLogUnavailable();
+	void requestTableFromPeer();
 	void publishTable();
 	void readVmList();
 	void onVmList(const absl::StatusOr<VmList>& _list);
 	void readLoads();
-	void onLoad(const std::string& _endpoint, const absl::StatusOr<LoadReport>& _report);
-	void learnLeaving(const std::string& _endpoint, bool _tell);
+	void onLoadReport(const std::string& _endpoint, const absl::StatusOr<LoadReport>& _report);
+	void markLeaving(const std::string& _endpoint, bool _notifyPeers);
 	void append(const TableEdit& _edit);
-	void settleEdits();
-	void considerSnapshot();
+	void completeEdits();
+	void appendSnapshotIfDue();
 	[[nodiscard]] std::size_t rank() const;
 
 	Platform& platform;
@@ -78,17 +78,17 @@
 	std::string self;
 	std::size_t endpointsPerPool;
 	std::function<void(const std::string&, const PeerMessage&)> send;
-	LogFold fold;
+	TableReplica tableReplica;
 	std::vector<std::string> peerList;
 	std::vector<Endpoint> endpointList;
 	std::set<std::string> leaving;
-	std::vector<WaitingEdit> waitingEdits;
+	std::vector<PendingEdit> pendingEdits;
 	QTimer logTimer;
 	QTimer vmTimer;
 	QTimer loadTimer;
-	Micros snapshotSince = 0;
-	std::size_t askTurn = 0;
-	bool readingLog = false;
+	Micros snapshotDueSince = 0;
+	std::size_t nextPeer = 0;
+	bool isReadingLog = false;
 	bool logCaughtUp = false;
 	bool vmListRead = false;
 };
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -168,7 +168,7 @@
 {
 	const WorkspaceRow* workspace = this->table->workspace(_request.workspace);
 	const auto share = this->shares.find(_request.workspace);
-	std::int64_t limit = workspace != nullptr && workspace->inFlight > 0 ? workspace->inFlight : -1;
+	std::int64_t limit = workspace != nullptr && workspace->maxInFlight > 0 ? workspace->maxInFlight : -1;
 	if (share != this->shares.end() && limit >= 0)
 	{
 		limit = std::min(limit, share->second);
@@ -507,7 +507,7 @@
 	{
 		this->finish(request, this->failureOutcome(_active, Reason::CutWhileRunning), _actions);
 	}
-	else if (_active.attemptsMade >= stage.attempts)
+	else if (_active.attemptsMade >= stage.maxAttempts)
 	{
 		this->finish(request, this->failureOutcome(_active, Reason::AttemptsExhausted), _actions);
 	}
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -338,7 +338,7 @@
 	stage.kind = route.streaming ? StageKind::Engine : StageKind::Service;
 	stage.pool = _active->pool;
 	stage.repeatable = route.repeatable;
-	stage.attempts = route.maxAttempts - _active->attempts;
+	stage.maxAttempts = route.maxAttempts - _active->attempts;
 	stage.expectedMs = std::max<std::int64_t>(1, route.latencyTarget / kMillisecond / 2);
 	this->perform(this->dispatcher.submit(spec, pipeline, {stage}, monotonicNow()));
 }
--- a/src/json.cpp
+++ b/src/json.cpp
@@ -20,7 +20,7 @@
 {
 
 /// Whole numbers up to this are exact in JSON numbers.
-constexpr double kExactInteger = 9'007'199'254'740'992.0;
+constexpr double kMaxExactInteger = 9'007'199'254'740'992.0;
 
 } // namespace
 
@@ -50,25 +50,25 @@
 {
 }
 
-void JsonReader::fault(const std::string& _name, const std::string& _limit)
+void JsonReader::setError(const std::string& _name, const std::string& _requirement)
 {
 	if (this->result.ok())
 	{
-		this->result = absl::InvalidArgumentError(absl::StrCat(this->path, _name, ": must be ", _limit));
+		this->result = absl::InvalidArgumentError(absl::StrCat(this->path, _name, ": must be ", _requirement));
 	}
 }
 
-std::string JsonReader::text(const char* _name, std::size_t _limit)
+std::string JsonReader::text(const char* _name, std::size_t _maxLength)
 {
-	std::string value = this->textOr(_name, _limit, {});
+	std::string value = this->textOr(_name, _maxLength, {});
 	if (value.empty())
 	{
-		this->fault(_name, absl::StrCat("a text of 1 to ", _limit, " characters"));
+		this->setError(_name, absl::StrCat("a text of 1 to ", _maxLength, " characters"));
 	}
 	return value;
 }
 
-std::string JsonReader::textOr(const char* _name, std::size_t _limit, std::string _default)
+std::string JsonReader::textOr(const char* _name, std::size_t _maxLength, std::string _default)
 {
 	const QJsonValue value = this->object.value(QLatin1String(_name));
 	if (value.isUndefined())
@@ -76,15 +76,15 @@
 		return _default;
 	}
 	std::string text = value.toString().toStdString();
-	if (!value.isString() || text.size() > _limit)
+	if (!value.isString() || text.size() > _maxLength)
 	{
-		this->fault(_name, absl::StrCat("a text of at most ", _limit, " characters"));
+		this->setError(_name, absl::StrCat("a text of at most ", _maxLength, " characters"));
 		return _default;
 	}
 	return text;
 }
 
-std::int64_t JsonReader::integerOr(const char* _name, std::int64_t _least, std::int64_t _most, std::int64_t _default)
+std::int64_t JsonReader::integerOr(const char* _name, std::int64_t _min, std::int64_t _max, std::int64_t _default)
 {
 	const QJsonValue value = this->object.value(QLatin1String(_name));
 	if (value.isUndefined())
@@ -92,10 +92,10 @@
 		return _default;
 	}
 	const double number = value.toDouble(std::nan(""));
-	const bool whole = std::isfinite(number) && std::floor(number) == number && std::abs(number) <= kExactInteger;
-	if (!whole || number < static_cast<double>(_least) || number > static_cast<double>(_most))
+	const bool isWhole = std::isfinite(number) && std::floor(number) == number && std::abs(number) <= kMaxExactInteger;
+	if (!isWhole || number < static_cast<double>(_min) || number > static_cast<double>(_max))
 	{
-		this->fault(_name, absl::StrCat("a whole number from ", _least, " to ", _most));
+		this->setError(_name, absl::StrCat("a whole number from ", _min, " to ", _max));
 		return _default;
 	}
 	return static_cast<std::int64_t>(number);
@@ -110,7 +110,7 @@
 	}
 	if (!value.isDouble())
 	{
-		this->fault(_name, "a number");
+		this->setError(_name, "a number");
 		return _default;
 	}
 	return value.toDouble();
@@ -125,28 +125,28 @@
 	}
 	if (!value.isBool())
 	{
-		this->fault(_name, "true or false");
+		this->setError(_name, "true or false");
 	}
 	return value.toBool(_default);
 }
 
-std::vector<std::string> JsonReader::texts(const char* _name, std::size_t _countLimit, std::size_t _limit)
+std::vector<std::string> JsonReader::texts(const char* _name, std::size_t _maxCount, std::size_t _maxLength)
 {
 	const QJsonValue value = this->object.value(QLatin1String(_name));
 	const QJsonArray array = value.toArray();
 	const auto count = static_cast<std::size_t>(array.size());
-	if (!value.isArray() || count > _countLimit)
+	if (!value.isArray() || count > _maxCount)
 	{
-		this->fault(_name, absl::StrCat("a list of at most ", _countLimit, " texts"));
+		this->setError(_name, absl::StrCat("a list of at most ", _maxCount, " texts"));
 		return {};
 	}
 	std::vector<std::string> result;
 	for (const QJsonValue element : array)
 	{
 		const std::string text = element.toString().toStdString();
-		if (!element.isString() || text.size() > _limit)
+		if (!element.isString() || text.size() > _maxLength)
 		{
-			this->fault(_name, absl::StrCat("a list of texts of at most ", _limit, " characters"));
+			this->setError(_name, absl::StrCat("a list of texts of at most ", _maxLength, " characters"));
 			return {};
 		}
 		result.push_back(text);
@@ -154,15 +154,15 @@
 	return result;
 }
 
-std::vector<QJsonObject> JsonReader::objects(const char* _name, std::size_t _countLimit)
+std::vector<QJsonObject> JsonReader::objects(const char* _name, std::size_t _maxCount)
 {
 	const QJsonValue value = this->object.value(QLatin1String(_name));
 	const QJsonArray array = value.toArray();
-	const bool onlyObjects =
+	const bool allObjects =
 		std::all_of(array.begin(), array.end(), [](const QJsonValue& _element) { return _element.isObject(); });
-	if (!value.isArray() || !onlyObjects || static_cast<std::size_t>(array.size()) > _countLimit)
+	if (!value.isArray() || !allObjects || static_cast<std::size_t>(array.size()) > _maxCount)
 	{
-		this->fault(_name, absl::StrCat("a list of at most ", _countLimit, " objects"));
+		this->setError(_name, absl::StrCat("a list of at most ", _maxCount, " objects"));
 		return {};
 	}
 	std::vector<QJsonObject> result;
@@ -173,14 +173,14 @@
 	return result;
 }
 
-void JsonReader::onlyFields(const std::vector<std::string>& _names)
+void JsonReader::rejectUnknownFields(const std::vector<std::string>& _names)
 {
 	for (auto entry = this->object.begin(); entry != this->object.end(); ++entry)
 	{
 		const std::string name = entry.key().toStdString();
 		if (std::find(_names.begin(), _names.end(), name) == _names.end())
 		{
-			this->fault(name, "left out: there is no such field here");
+			this->setError(name, "left out: there is no such field here");
 		}
 	}
 }
--- a/src/json.h
+++ b/src/json.h
@@ -37,14 +37,14 @@
 	/// @param[in] _path Put before the names of fields in messages, for instance "row.".
 	explicit JsonReader(const QJsonObject& _object, std::string _path = {});
 
-	/// Field that must be there: text of 1 to _limit characters.
-	std::string text(const char* _name, std::size_t _limit);
+	/// Field that must be there: text of 1 to _maxLength characters.
+	std::string text(const char* _name, std::size_t _maxLength);
 
-	/// Field that may be missing: text of at most _limit characters.
-	std::string textOr(const char* _name, std::size_t _limit, std::string _default);
+	/// Field that may be missing: text of at most _maxLength characters.
+	std::string textOr(const char* _name, std::size_t _maxLength, std::string _default);
 
 	/// Field that may be missing: whole number within the range.
-	std::int64_t integerOr(const char* _name, std::int64_t _least, std::int64_t _most, std::int64_t _default);
+	std::int64_t integerOr(const char* _name, std::int64_t _min, std::int64_t _max, std::int64_t _default);
 
 	/// Field that may be missing: any finite number.
 	double numberOr(const char* _name, double _default);
@@ -52,16 +52,16 @@
 	bool booleanOr(const char* _name, bool _default);
 
 	/// Field that must be there: list of texts.
-	std::vector<std::string> texts(const char* _name, std::size_t _countLimit, std::size_t _limit);
+	std::vector<std::string> texts(const char* _name, std::size_t _maxCount, std::size_t _maxLength);
 
 	/// Field that must be there: list of objects.
-	std::vector<QJsonObject> objects(const char* _name, std::size_t _countLimit);
+	std::vector<QJsonObject> objects(const char* _name, std::size_t _maxCount);
 
 	/// Records a fault of a field.
-	void fault(const std::string& _name, const std::string& _limit);
+	void setError(const std::string& _name, const std::string& _requirement);
 
 	/// Faults every field that is not among those named.
-	void onlyFields(const std::vector<std::string>& _names);
+	void rejectUnknownFields(const std::vector<std::string>& _names);
 
 	/// @returns Ok, or InvalidArgument with the first fault.
 	[[nodiscard]] const absl::Status& status() const;
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -84,7 +84,7 @@
 	this->traffic->start();
 	this->control->start();
 	this->view->start();
-	QObject::connect(&this->readyTimer, &QTimer::timeout, [this] { this->isReady = this->control->ready(); });
+	QObject::connect(&this->readyTimer, &QTimer::timeout, [this] { this->isReady = this->control->isReady(); });
 	this->readyTimer.start(kReadyPeriodMs);
 	return absl::OkStatus();
 }
@@ -128,9 +128,9 @@
 			[&](const RelayToken& _typed) { this->relay->onToken(_typed); },
 			[&](const RelayResult& _typed) { this->relay->onResult(_typed); },
 			[&](const TableAsk& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onTableAsk(_peer, _typed); }); },
-			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
-			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
+			{ onControl([this, _peer, _typed] { this->control->onTableRequest(_peer, _typed); }); },
+			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableResponse(_typed); }); },
+			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingNotice(_typed); }); },
 			[&](const Farewell& _typed) { this->traffic->hearFarewell(_typed); },
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->view->onGossip(_peer, _typed); }); },
 			[&](const DemandReport& _typed)
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -25,7 +25,7 @@
 
 constexpr const char* kPrefix = "/operator/";
 
-QString text(std::string_view _text)
+QString toQString(std::string_view _text)
 {
 	return QString::fromUtf8(_text.data(), static_cast<qsizetype>(_text.size()));
 }
@@ -53,9 +53,9 @@
 } // namespace
 
 OperatorApi::OperatorApi(const Settings& _settings, Control& _control, ClusterView& _view, Traffic& _traffic,
-						 Metrics& _metrics, QObject& _thread, std::function<void()> _drain)
-	: settings(_settings), control(_control), view(_view), traffic(_traffic), metrics(_metrics), thread(_thread),
-	  drain(std::move(_drain))
+						 Metrics& _metrics, QObject& _controlThread, std::function<void()> _drain)
+	: settings(_settings), control(_control), view(_view), traffic(_traffic), metrics(_metrics),
+	  controlThread(_controlThread), drain(std::move(_drain))
 {
 }
 
@@ -73,15 +73,17 @@
 	{
 		return false;
 	}
-	const std::string name = nameOfBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
-	if (name.empty())
+	const std::string operatorName =
+		nameOfBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
+	if (operatorName.empty())
 	{
 		_reply->send(
 			errorResponse(401, "unauthorized", "header Authorization: must be Bearer and an operator's credential"));
 		return true;
 	}
 	QMetaObject::invokeMethod(
-		&this->thread, [this, _request, name, _reply] { this->serve(_request, name, _reply); }, Qt::QueuedConnection);
+		&this->controlThread, [this, _request, operatorName, _reply] { this->serve(_request, operatorName, _reply); },
+		Qt::QueuedConnection);
 	return true;
 }
 
@@ -92,11 +94,11 @@
 	absl::string_view rest = path;
 	if (path == "table" && _request.method == "GET")
 	{
-		sendJson(_reply, 200, toJson(this->control.log().table().snapshot()));
+		sendJson(_reply, 200, toJson(this->control.replica().table().snapshot()));
 	}
 	else if (path == "table/edits" && _request.method == "POST")
 	{
-		this->edit(_request, _operator, _reply);
+		this->submitEdit(_request, _operator, _reply);
 	}
 	else if (path == "table/history")
 	{
@@ -104,7 +106,7 @@
 	}
 	else if (absl::ConsumePrefix(&rest, "table/edits/"))
 	{
-		this->editOutcome(std::string(rest), _reply);
+		this->sendEditOutcome(std::string(rest), _reply);
 	}
 	else if (path == "status")
 	{
@@ -121,7 +123,7 @@
 	}
 	else if (absl::ConsumePrefix(&rest, "requests/"))
 	{
-		this->explain(std::string(rest), _reply);
+		this->sendTrace(std::string(rest), _reply);
 	}
 	else
 	{
@@ -129,8 +131,8 @@
 	}
 }
 
-void OperatorApi::edit(const HttpRequest& _request, const std::string& _operator,
-					   const std::shared_ptr<HttpReply>& _reply)
+void OperatorApi::submitEdit(const HttpRequest& _request, const std::string& _operator,
+							 const std::shared_ptr<HttpReply>& _reply)
 {
 	const auto object = parseObject(_request.body);
 	auto parsed = object.ok() ? editFromJson(*object) : object.status();
@@ -151,15 +153,15 @@
 						   sendJson(
 							   _reply, 504,
 							   QJsonObject{{"result", "unknown"},
-										   {"id", text(id)},
+										   {"id", toQString(id)},
 										   {"message", "the log has not told in time; the edit may still take effect: "
 													   "ask again with its id before sending another"}});
 					   });
 }
 
-void OperatorApi::editOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const
+void OperatorApi::sendEditOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const
 {
-	const auto outcome = this->control.log().outcomeOf(_id);
+	const auto outcome = this->control.replica().outcomeOf(_id);
 	if (!outcome)
 	{
 		_reply->send(errorResponse(404, "not_found", "no edit of that id was read from the log lately"));
@@ -168,7 +170,7 @@
 	sendJson(_reply, 200, toJson(*outcome));
 }
 
-void OperatorApi::explain(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply)
+void OperatorApi::sendTrace(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply)
 {
 	const auto ticket = ticketFromText(QUrl::fromPercentEncoding(QByteArray::fromStdString(_ticket)).toStdString());
 	if (!ticket.ok())
@@ -196,7 +198,7 @@
 QJsonObject OperatorApi::history() const
 {
 	QJsonArray edits;
-	for (const EditHistory& entry : this->control.log().history())
+	for (const EditHistoryEntry& entry : this->control.replica().history())
 	{
 		QJsonObject object = toJson(entry.edit);
 		object["offset"] = static_cast<qint64>(entry.offset);
@@ -211,30 +213,30 @@
 	QJsonArray peers;
 	for (const std::string& peer : this->control.peers())
 	{
-		peers.append(text(peer));
+		peers.append(toQString(peer));
 	}
 	QJsonArray members;
 	for (const auto& entry : this->view.members().members())
 	{
-		members.append(QJsonObject{{"node", text(entry.first)},
-								   {"state", text(nameOf(entry.second.state))},
+		members.append(QJsonObject{{"node", toQString(entry.first)},
+								   {"state", toQString(nameOf(entry.second.state))},
 								   {"table_offset", static_cast<qint64>(entry.second.tableOffset)}});
 	}
 	QJsonObject shares;
 	for (const auto& entry : this->view.shares())
 	{
-		shares[text(entry.first)] = static_cast<qint64>(entry.second);
+		shares[toQString(entry.first)] = static_cast<qint64>(entry.second);
 	}
 	const DispatcherCounters counters = this->traffic.counters();
-	return QJsonObject{{"node", text(this->traffic.self().node)},
-					   {"failure_domain", text(this->settings.failureDomain)},
-					   {"ready", this->control.ready()},
+	return QJsonObject{{"node", toQString(this->traffic.self().node)},
+					   {"failure_domain", toQString(this->settings.failureDomain)},
+					   {"ready", this->control.isReady()},
 					   {"draining", this->traffic.draining()},
-					   {"table_offset", static_cast<qint64>(this->control.log().table().snapshot().offset)},
+					   {"table_offset", static_cast<qint64>(this->control.replica().table().snapshot().offset)},
 					   {"in_force_offset", static_cast<qint64>(this->view.inForce())},
 					   {"members", members},
 					   {"shares", shares},
-					   {"log_gap", this->control.log().hasGap()},
+					   {"log_gap", this->control.replica().hasGap()},
 					   {"in_flight", static_cast<qint64>(this->traffic.inFlight())},
 					   {"submitted", static_cast<qint64>(counters.submitted)},
 					   {"answered", static_cast<qint64>(counters.answered)},
@@ -249,17 +251,17 @@
 	QJsonArray list;
 	for (const EndpointState& state : this->traffic.endpoints())
 	{
-		const bool aside = state.ejectedUntil > monotonicNow();
-		const char* word = state.endpoint.leaving ? "leaving" : (aside ? "set_aside" : "live");
-		list.append(QJsonObject{{"id", text(state.endpoint.id)},
-								{"address", text(state.endpoint.address)},
-								{"pool", text(state.endpoint.pool)},
-								{"failure_domain", text(state.endpoint.failureDomain)},
+		const bool isEjected = state.ejectedUntil > monotonicNow();
+		const char* stateName = state.endpoint.leaving ? "leaving" : (isEjected ? "set_aside" : "live");
+		list.append(QJsonObject{{"id", toQString(state.endpoint.id)},
+								{"address", toQString(state.endpoint.address)},
+								{"pool", toQString(state.endpoint.pool)},
+								{"failure_domain", toQString(state.endpoint.failureDomain)},
 								{"slots", static_cast<qint64>(state.endpoint.slots)},
 								{"own", static_cast<qint64>(state.ownInFlight)},
 								{"others", state.othersInFlight},
 								{"slowness", state.slowness},
-								{"state", word}});
+								{"state", stateName}});
 	}
 	return QJsonObject{{"endpoints", list}};
 }
--- a/src/operator_api.h
+++ b/src/operator_api.h
@@ -22,18 +22,19 @@
 class OperatorApi
 {
 public:
-	/// @param[in] _thread Object that lives on the control thread.
+	/// @param[in] _controlThread Object that lives on the control thread.
 	OperatorApi(const Settings& _settings, Control& _control, ClusterView& _view, Traffic& _traffic, Metrics& _metrics,
-				QObject& _thread, std::function<void()> _drain);
+				QObject& _controlThread, std::function<void()> _drain);
 
 	/// @returns Whether the request was for this interface.
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 private:
 	void serve(const HttpRequest& _request, const std::string& _operator, const std::shared_ptr<HttpReply>& _reply);
-	void edit(const HttpRequest& _request, const std::string& _operator, const std::shared_ptr<HttpReply>& _reply);
-	void editOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const;
-	void explain(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply);
+	void submitEdit(const HttpRequest& _request, const std::string& _operator,
+					const std::shared_ptr<HttpReply>& _reply);
+	void sendEditOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const;
+	void sendTrace(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply);
 	[[nodiscard]] QJsonObject history() const;
 	[[nodiscard]] QJsonObject status() const;
 	[[nodiscard]] QJsonObject endpoints() const;
@@ -43,7 +44,7 @@
 	ClusterView& view;
 	Traffic& traffic;
 	Metrics& metrics;
-	QObject& thread;
+	QObject& controlThread;
 	std::function<void()> drain;
 };
 
--- a/src/platform.cpp
+++ b/src/platform.cpp
@@ -22,10 +22,10 @@
 {
 
 constexpr int kTimeoutMs = 2'000;
-constexpr std::size_t kTextLimit = 256;
-constexpr std::size_t kVmsLimit = 20'000;
-constexpr std::int64_t kSlotsMost = 100'000;
-constexpr std::int64_t kCountMost = 1'000'000;
+constexpr std::size_t kMaxTextLength = 256;
+constexpr std::size_t kMaxVms = 20'000;
+constexpr std::int64_t kMaxSlots = 100'000;
+constexpr std::int64_t kMaxCount = 1'000'000;
 constexpr const char* kNodeRole = "roadferry";
 
 QNetworkRequest requestTo(const std::string& _url)
@@ -36,7 +36,7 @@
 	return request;
 }
 
-absl::StatusOr<LogPage> logPageOf(const std::string& _body)
+absl::StatusOr<LogPage> parseLogPage(const std::string& _body)
 {
 	const auto object = parseObject(_body);
 	if (!object.ok())
@@ -44,8 +44,8 @@
 		return object.status();
 	}
 	LogPage page;
-	page.first = static_cast<std::uint64_t>(object->value("first").toInteger(1));
-	page.next = static_cast<std::uint64_t>(object->value("next").toInteger(1));
+	page.oldestOffset = static_cast<std::uint64_t>(object->value("first").toInteger(1));
+	page.nextOffset = static_cast<std::uint64_t>(object->value("next").toInteger(1));
 	const QJsonArray records = object->value("records").toArray();
 	for (const QJsonValue value : records)
 	{
@@ -61,7 +61,7 @@
 	return page;
 }
 
-absl::StatusOr<VmList> vmListOf(const std::string& _body)
+absl::StatusOr<VmList> parseVmList(const std::string& _body)
 {
 	const auto object = parseObject(_body);
 	if (!object.ok())
@@ -70,16 +70,16 @@
 	}
 	JsonReader reader(*object);
 	VmList list;
-	for (const QJsonObject& vm : reader.objects("vms", kVmsLimit))
+	for (const QJsonObject& vm : reader.objects("vms", kMaxVms))
 	{
 		JsonReader fields(vm, "vms.");
 		Endpoint endpoint;
-		endpoint.id = fields.text("id", kTextLimit);
-		endpoint.address = fields.text("address", kTextLimit);
-		endpoint.pool = fields.textOr("pool", kTextLimit, "");
-		endpoint.failureDomain = fields.textOr("failure_domain", kTextLimit, "");
-		endpoint.slots = fields.integerOr("slots", 1, kSlotsMost, endpoint.slots);
-		endpoint.leaving = fields.textOr("state", kTextLimit, "live") != "live";
+		endpoint.id = fields.text("id", kMaxTextLength);
+		endpoint.address = fields.text("address", kMaxTextLength);
+		endpoint.pool = fields.textOr("pool", kMaxTextLength, "");
+		endpoint.failureDomain = fields.textOr("failure_domain", kMaxTextLength, "");
+		endpoint.slots = fields.integerOr("slots", 1, kMaxSlots, endpoint.slots);
+		endpoint.leaving = fields.textOr("state", kMaxTextLength, "live") != "live";
 		if (!fields.status().ok())
 		{
 			return fields.status();
@@ -98,7 +98,7 @@
 	return list;
 }
 
-absl::StatusOr<LoadReport> loadOf(const std::string& _body)
+absl::StatusOr<LoadReport> parseLoadReport(const std::string& _body)
 {
 	const auto object = parseObject(_body);
 	if (!object.ok())
@@ -107,19 +107,19 @@
 	}
 	JsonReader reader(*object);
 	LoadReport report;
-	report.running = reader.integerOr("running", 0, kCountMost, 0);
-	report.queued = reader.integerOr("queued", 0, kCountMost, 0);
+	report.running = reader.integerOr("running", 0, kMaxCount, 0);
+	report.queued = reader.integerOr("queued", 0, kMaxCount, 0);
 	report.leaving = reader.booleanOr("leaving", false);
 	return reader.status().ok() ? absl::StatusOr<LoadReport>(report) : reader.status();
 }
 
 /// Turns the text of an answer into a value, and hands on errors.
 template<class Value>
-std::function<void(absl::StatusOr<std::string>)> parsed(absl::StatusOr<Value> (*_parse)(const std::string&),
-														std::function<void(absl::StatusOr<Value>)> _done)
+std::function<void(absl::StatusOr<std::string>)> parseThenCall(absl::StatusOr<Value> (*_parse)(const std::string&),
+															   std::function<void(absl::StatusOr<Value>)> _callback)
 {
-	return [_parse, done = std::move(_done)](absl::StatusOr<std::string> _body)
-	{ done(_body.ok() ? _parse(*_body) : absl::StatusOr<Value>(_body.status())); };
+	return [_parse, callback = std::move(_callback)](absl::StatusOr<std::string> _body)
+	{ callback(_body.ok() ? _parse(*_body) : absl::StatusOr<Value>(_body.status())); };
 }
 
 } // namespace
@@ -129,46 +129,48 @@
 {
 }
 
-void Platform::watch(QNetworkReply* _reply, Done _done)
+void Platform::onFinished(QNetworkReply* _reply, Callback _callback)
 {
 	QObject::connect(_reply, &QNetworkReply::finished, _reply,
-					 [_reply, done = std::move(_done)]
+					 [_reply, callback = std::move(_callback)]
 					 {
 						 _reply->deleteLater();
 						 if (_reply->error() != QNetworkReply::NoError)
 						 {
-							 done(absl::UnavailableError(_reply->errorString().toStdString()));
+							 callback(absl::UnavailableError(_reply->errorString().toStdString()));
 							 return;
 						 }
-						 done(_reply->readAll().toStdString());
+						 callback(_reply->readAll().toStdString());
 					 });
 }
 
-void Platform::get(const std::string& _url, Done _done)
+void Platform::get(const std::string& _url, Callback _callback)
 {
-	this->watch(this->network.get(requestTo(_url)), std::move(_done));
+	this->onFinished(this->network.get(requestTo(_url)), std::move(_callback));
 }
 
-void Platform::readLog(std::uint64_t _from, std::function<void(absl::StatusOr<LogPage>)> _done)
+void Platform::readLog(std::uint64_t _from, std::function<void(absl::StatusOr<LogPage>)> _callback)
 {
-	this->get(absl::StrCat("http://", this->logAddress, "/records?from=", _from), parsed(&logPageOf, std::move(_done)));
+	this->get(absl::StrCat("http://", this->logAddress, "/records?from=", _from),
+			  parseThenCall(&parseLogPage, std::move(_callback)));
 }
 
-void Platform::append(const std::string& _record, std::function<void(absl::Status)> _done)
+void Platform::append(const std::string& _record, std::function<void(absl::Status)> _callback)
 {
 	const QNetworkRequest request = requestTo(absl::StrCat("http://", this->logAddress, "/append"));
-	this->watch(this->network.post(request, QByteArray::fromStdString(_record)),
-				[done = std::move(_done)](const absl::StatusOr<std::string>& _body) { done(_body.status()); });
+	this->onFinished(this->network.post(request, QByteArray::fromStdString(_record)),
+					 [callback = std::move(_callback)](const absl::StatusOr<std::string>& _body)
+					 { callback(_body.status()); });
 }
 
-void Platform::readVmList(std::function<void(absl::StatusOr<VmList>)> _done)
+void Platform::readVmList(std::function<void(absl::StatusOr<VmList>)> _callback)
 {
-	this->get(absl::StrCat("http://", this->vmListAddress, "/vms"), parsed(&vmListOf, std::move(_done)));
+	this->get(absl::StrCat("http://", this->vmListAddress, "/vms"), parseThenCall(&parseVmList, std::move(_callback)));
 }
 
-void Platform::readLoad(const std::string& _address, std::function<void(absl::StatusOr<LoadReport>)> _done)
+void Platform::readLoad(const std::string& _address, std::function<void(absl::StatusOr<LoadReport>)> _callback)
 {
-	this->get(absl::StrCat("http://", _address, "/load"), parsed(&loadOf, std::move(_done)));
+	this->get(absl::StrCat("http://", _address, "/load"), parseThenCall(&parseLoadReport, std::move(_callback)));
 }
 
 } // namespace roadferry
--- a/src/platform.h
+++ b/src/platform.h
@@ -21,8 +21,8 @@
 /// Records as the log gave them.
 struct LogPage
 {
-	std::uint64_t first = 0; ///< Oldest record that is still held.
-	std::uint64_t next = 0;  ///< Offset that the next append will get.
+	std::uint64_t oldestOffset = 0; ///< Oldest record that is still held.
+	std::uint64_t nextOffset = 0;   ///< Offset that the next append will get.
 	std::vector<LogEntry> entries;
 };
 
@@ -42,16 +42,16 @@
 	Platform(std::string _logAddress, std::string _vmListAddress);
 
 	/// Functions are called on the control thread; with an error when the platform does not answer well.
-	void readLog(std::uint64_t _from, std::function<void(absl::StatusOr<LogPage>)> _done);
-	void append(const std::string& _record, std::function<void(absl::Status)> _done);
-	void readVmList(std::function<void(absl::StatusOr<VmList>)> _done);
-	void readLoad(const std::string& _address, std::function<void(absl::StatusOr<LoadReport>)> _done);
+	void readLog(std::uint64_t _from, std::function<void(absl::StatusOr<LogPage>)> _callback);
+	void append(const std::string& _record, std::function<void(absl::Status)> _callback);
+	void readVmList(std::function<void(absl::StatusOr<VmList>)> _callback);
+	void readLoad(const std::string& _address, std::function<void(absl::StatusOr<LoadReport>)> _callback);
 
 private:
-	using Done = std::function<void(absl::StatusOr<std::string>)>;
+	using Callback = std::function<void(absl::StatusOr<std::string>)>;
 
-	void get(const std::string& _url, Done _done);
-	void watch(QNetworkReply* _reply, Done _done);
+	void get(const std::string& _url, Callback _callback);
+	void onFinished(QNetworkReply* _reply, Callback _callback);
 
 	std::string logAddress;
 	std::string vmListAddress;
--- a/src/row_csv.cpp
+++ b/src/row_csv.cpp
@@ -23,7 +23,7 @@
 constexpr const char* kHeader = "kind,name,field,value";
 
 /// Text of a JSON value as a spreadsheet shows it; lists are parted by spaces.
-std::string cellOf(const QJsonValue& _value)
+std::string toCell(const QJsonValue& _value)
 {
 	if (_value.isArray())
 	{
@@ -39,7 +39,7 @@
 }
 
 /// JSON value of a cell: a list for stages, a number or a boolean where it reads as one, a text otherwise.
-QJsonValue valueOf(const std::string& _field, const std::string& _cell)
+QJsonValue parseCell(const std::string& _field, const std::string& _cell)
 {
 	if (_field == "stages")
 	{
@@ -81,7 +81,7 @@
 			if (name != "kind" && name != "name")
 			{
 				absl::StrAppend(&text, std::string(nameOf(entry.first.kind)), ",", entry.first.name, ",", name, ",",
-								cellOf(field.value()), "\n");
+								toCell(field.value()), "\n");
 			}
 		}
 	}
@@ -91,11 +91,11 @@
 absl::StatusOr<std::vector<Row>> rowsFromCsv(const std::string& _text)
 {
 	std::map<RowKey, QJsonObject> objects;
-	std::size_t number = 0;
-	for (const auto raw : absl::StrSplit(_text, '\n'))
+	std::size_t lineNumber = 0;
+	for (const auto rawLine : absl::StrSplit(_text, '\n'))
 	{
-		number += 1;
-		const std::string line(absl::StripAsciiWhitespace(raw));
+		lineNumber += 1;
+		const std::string line(absl::StripAsciiWhitespace(rawLine));
 		if (line.empty() || line == kHeader)
 		{
 			continue;
@@ -105,12 +105,12 @@
 		if (cells.size() != 4 || !kind)
 		{
 			return absl::InvalidArgumentError(absl::StrCat(
-				"line ", number, ": must be kind,name,field,value with the kind workspace, pipeline or stage"));
+				"line ", lineNumber, ": must be kind,name,field,value with the kind workspace, pipeline or stage"));
 		}
 		QJsonObject& object = objects[RowKey{*kind, cells[1]}];
 		object["kind"] = QString::fromStdString(cells[0]);
 		object["name"] = QString::fromStdString(cells[1]);
-		object[QString::fromStdString(cells[2])] = valueOf(cells[2], cells[3]);
+		object[QString::fromStdString(cells[2])] = parseCell(cells[2], cells[3]);
 	}
 	std::vector<Row> rows;
 	for (const auto& entry : objects)
@@ -126,7 +126,7 @@
 	return rows;
 }
 
-TableEdit editTowards(const TableSnapshot& _table, const std::vector<Row>& _rows, const std::string& _id)
+TableEdit makeEdit(const TableSnapshot& _table, const std::vector<Row>& _rows, const std::string& _id)
 {
 	TableEdit edit;
 	edit.id = _id;
--- a/src/row_csv.h
+++ b/src/row_csv.h
@@ -23,7 +23,7 @@
 
 /// Works out the edit that turns the table's rows into those given. Rows that are not given stay as they are.
 /// @param[in] _id Id of the edit.
-TableEdit editTowards(const TableSnapshot& _table, const std::vector<Row>& _rows, const std::string& _id);
+TableEdit makeEdit(const TableSnapshot& _table, const std::vector<Row>& _rows, const std::string& _id);
 
 } // namespace roadferry
 
--- a/src/standin_fault.cpp
+++ b/src/standin_fault.cpp
@@ -58,7 +58,7 @@
 	const auto found = faultModes().find(name);
 	if (found == faultModes().end())
 	{
-		reader.fault("mode", "one of none, slow, drop, cut, freeze, refuse, wrong_attempt, out");
+		reader.setError("mode", "one of none, slow, drop, cut, freeze, refuse, wrong_attempt, out");
 	}
 	if (!reader.status().ok())
 	{
--- a/src/submission.cpp
+++ b/src/submission.cpp
@@ -33,13 +33,13 @@
 		return object.status();
 	}
 	JsonReader reader(*object);
-	reader.onlyFields({"workspace", "deadline_ms", "repeatable", "ticket", "stream", "prompt_tokens", "max_tokens",
-					   "prefix", "input"});
+	reader.rejectUnknownFields({"workspace", "deadline_ms", "repeatable", "ticket", "stream", "prompt_tokens",
+								"max_tokens", "prefix", "input"});
 	Submission submission;
 	submission.workspace = reader.textOr("workspace", kTextLimit, _workspace);
 	if (submission.workspace != _workspace)
 	{
-		reader.fault("workspace", "the workspace of the credential");
+		reader.setError("workspace", "the workspace of the credential");
 	}
 	submission.pipeline = _pipeline;
 	const std::int64_t deadlineMs = reader.integerOr("deadline_ms", 1, kDeadlineMostMs, 0);
@@ -57,11 +57,11 @@
 	submission.input = object->value("input");
 	if (submission.input.isUndefined())
 	{
-		reader.fault("input", "given");
+		reader.setError("input", "given");
 	}
 	if (!submission.repeatable && ticket.empty())
 	{
-		reader.fault("ticket", "given when repeatable is false; get one from POST /v1/tickets");
+		reader.setError("ticket", "given when repeatable is false; get one from POST /v1/tickets");
 	}
 	if (!reader.status().ok())
 	{
--- a/src/table.cpp
+++ b/src/table.cpp
@@ -17,15 +17,15 @@
 namespace
 {
 
-constexpr std::size_t kNameLimit = 64;
-constexpr double kWeightMin = 0.01;
-constexpr double kWeightMax = 1'000.0;
-constexpr std::int64_t kInFlightMax = 10'000'000;
-constexpr std::int64_t kDeadlineMaxMs = 600'000;
-constexpr std::int64_t kAttemptsMax = 5;
-constexpr std::int64_t kExpectedMaxMs = 600'000;
-constexpr std::size_t kStagesMax = 8;
-constexpr std::size_t kChangesMax = 2'000;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr double kMinWeight = 0.01;
+constexpr double kMaxWeight = 1'000.0;
+constexpr std::int64_t kMaxInFlight = 10'000'000;
+constexpr std::int64_t kMaxDeadlineMs = 600'000;
+constexpr std::int64_t kMaxAttempts = 5;
+constexpr std::int64_t kMaxExpectedMs = 600'000;
+constexpr std::size_t kMaxStages = 8;
+constexpr std::size_t kMaxChanges = 2'000;
 
 constexpr std::array<std::string_view, 5> kStageKindNames = {"encoder", "retriever", "reranker", "engine", "service"};
 constexpr std::array<std::string_view, 3> kRowKindNames = {"workspace", "pipeline", "stage"};
@@ -39,23 +39,23 @@
 
 bool isName(const std::string& _name)
 {
-	return !_name.empty() && _name.size() <= kNameLimit && std::all_of(_name.begin(), _name.end(), isNameCharacter);
+	return !_name.empty() && _name.size() <= kMaxNameLength && std::all_of(_name.begin(), _name.end(), isNameCharacter);
 }
 
-EditInvalid invalid(const RowKey& _key, std::string _field, std::string _limit)
+EditInvalid invalid(const RowKey& _key, std::string _field, std::string _requirement)
 {
-	return EditInvalid{_key, std::move(_field), std::move(_limit)};
+	return EditInvalid{_key, std::move(_field), std::move(_requirement)};
 }
 
-constexpr const char* kNameRule = "1 to 64 characters out of letters, digits, '-', '_' and '.'";
+constexpr const char* kNameRequirement = "1 to 64 characters out of letters, digits, '-', '_' and '.'";
 
 std::optional<EditInvalid> checkWorkspace(const RowKey& _key, const WorkspaceRow& _row)
 {
-	if (!(_row.weight >= kWeightMin && _row.weight <= kWeightMax))
+	if (!(_row.weight >= kMinWeight && _row.weight <= kMaxWeight))
 	{
 		return invalid(_key, "weight", "a number from 0.01 to 1000");
 	}
-	if (_row.inFlight < 0 || _row.inFlight > kInFlightMax)
+	if (_row.maxInFlight < 0 || _row.maxInFlight > kMaxInFlight)
 	{
 		return invalid(_key, "in_flight", "a whole number from 0 (no limit) to 10000000");
 	}
@@ -66,17 +66,17 @@
 {
 	if (!isName(_row.workspace))
 	{
-		return invalid(_key, "workspace", kNameRule);
+		return invalid(_key, "workspace", kNameRequirement);
 	}
-	if (_row.stages.empty() || _row.stages.size() > kStagesMax)
+	if (_row.stages.empty() || _row.stages.size() > kMaxStages)
 	{
 		return invalid(_key, "stages", "a list of 1 to 8 stages");
 	}
 	if (!std::all_of(_row.stages.begin(), _row.stages.end(), isName))
 	{
-		return invalid(_key, "stages", kNameRule);
+		return invalid(_key, "stages", kNameRequirement);
 	}
-	if (_row.deadlineMs < 1 || _row.deadlineMs > kDeadlineMaxMs)
+	if (_row.deadlineMs < 1 || _row.deadlineMs > kMaxDeadlineMs)
 	{
 		return invalid(_key, "deadline_ms", "a whole number from 1 to 600000");
 	}
@@ -87,13 +87,13 @@
 {
 	if (!isName(_row.pool))
 	{
-		return invalid(_key, "pool", kNameRule);
+		return invalid(_key, "pool", kNameRequirement);
 	}
-	if (_row.attempts < 1 || _row.attempts > kAttemptsMax)
+	if (_row.maxAttempts < 1 || _row.maxAttempts > kMaxAttempts)
 	{
 		return invalid(_key, "attempts", "a whole number from 1 to 5");
 	}
-	if (_row.expectedMs < 1 || _row.expectedMs > kExpectedMaxMs)
+	if (_row.expectedMs < 1 || _row.expectedMs > kMaxExpectedMs)
 	{
 		return invalid(_key, "expected_ms", "a whole number from 1 to 600000");
 	}
@@ -162,7 +162,7 @@
 {
 	if (!isName(_key.name))
 	{
-		return invalid(_key, "name", kNameRule);
+		return invalid(_key, "name", kNameRequirement);
 	}
 	if (keyOf(_row) != _key)
 	{
@@ -179,7 +179,7 @@
 
 EditOutcome Table::check(const TableEdit& _edit) const
 {
-	if (_edit.changes.empty() || _edit.changes.size() > kChangesMax)
+	if (_edit.changes.empty() || _edit.changes.size() > kMaxChanges)
 	{
 		return invalid(RowKey{}, "changes", "a list of 1 to 2000 rows");
 	}
@@ -192,9 +192,9 @@
 		}
 		if (change.row.has_value())
 		{
-			if (auto fault = checkRow(change.key, *change.row))
+			if (auto error = checkRow(change.key, *change.row))
 			{
-				return *fault;
+				return *error;
 			}
 		}
 		const std::uint64_t current = revisionOf(this->state, change.key);
@@ -230,7 +230,7 @@
 	this->state.offset = std::max(this->state.offset, _offset);
 }
 
-bool Table::adopt(const TableSnapshot& _snapshot)
+bool Table::installSnapshot(const TableSnapshot& _snapshot)
 {
 	if (_snapshot.offset <= this->state.offset)
 	{
--- a/src/table_json.cpp
+++ b/src/table_json.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-constexpr std::size_t kNameLimit = 64;
-constexpr std::size_t kTextLimit = 200;
-constexpr std::size_t kRowsLimit = 200'000;
-constexpr std::size_t kChangesLimit = 2'000;
-constexpr std::size_t kStagesLimit = 8;
-constexpr std::int64_t kRevisionMost = 9'007'199'254'740'992;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxTextLength = 200;
+constexpr std::size_t kMaxRows = 200'000;
+constexpr std::size_t kMaxChanges = 2'000;
+constexpr std::size_t kMaxStages = 8;
+constexpr std::int64_t kMaxExactInteger = 9'007'199'254'740'992;
 
-QString text(std::string_view _text)
+QString toQString(std::string_view _text)
 {
 	return QString::fromUtf8(_text.data(), static_cast<qsizetype>(_text.size()));
 }
 
-qint64 number(std::uint64_t _number)
+qint64 toQInt64(std::uint64_t _number)
 {
 	return static_cast<qint64>(_number);
 }
@@ -36,44 +36,44 @@
 /// A row without checking its limits: those are the table's own business, so that they are the same on each node.
 std::optional<Row> readRow(JsonReader& _reader, RowKind _kind)
 {
-	const std::string name = _reader.text("name", kNameLimit);
+	const std::string name = _reader.text("name", kMaxNameLength);
 	switch (_kind)
 	{
 	case RowKind::Workspace:
 	{
-		_reader.onlyFields({"kind", "name", "weight", "in_flight"});
+		_reader.rejectUnknownFields({"kind", "name", "weight", "in_flight"});
 		WorkspaceRow row;
 		row.name = name;
 		row.weight = _reader.numberOr("weight", row.weight);
-		row.inFlight = _reader.integerOr("in_flight", 0, kRevisionMost, row.inFlight);
+		row.maxInFlight = _reader.integerOr("in_flight", 0, kMaxExactInteger, row.maxInFlight);
 		return row;
 	}
 	case RowKind::Pipeline:
 	{
-		_reader.onlyFields({"kind", "name", "workspace", "stages", "deadline_ms", "urgent"});
+		_reader.rejectUnknownFields({"kind", "name", "workspace", "stages", "deadline_ms", "urgent"});
 		PipelineRow row;
 		row.name = name;
-		row.workspace = _reader.text("workspace", kNameLimit);
-		row.stages = _reader.texts("stages", kStagesLimit, kNameLimit);
-		row.deadlineMs = _reader.integerOr("deadline_ms", 1, kRevisionMost, row.deadlineMs);
+		row.workspace = _reader.text("workspace", kMaxNameLength);
+		row.stages = _reader.texts("stages", kMaxStages, kMaxNameLength);
+		row.deadlineMs = _reader.integerOr("deadline_ms", 1, kMaxExactInteger, row.deadlineMs);
 		row.urgent = _reader.booleanOr("urgent", row.urgent);
 		return row;
 	}
 	case RowKind::Stage:
 	{
-		_reader.onlyFields({"kind", "name", "stage_kind", "pool", "repeatable", "attempts", "expected_ms"});
+		_reader.rejectUnknownFields({"kind", "name", "stage_kind", "pool", "repeatable", "attempts", "expected_ms"});
 		StageRow row;
 		row.name = name;
-		const auto kind = stageKindOf(_reader.text("stage_kind", kNameLimit));
+		const auto kind = stageKindOf(_reader.text("stage_kind", kMaxNameLength));
 		if (!kind)
 		{
-			_reader.fault("stage_kind", "one of encoder, retriever, reranker, engine, service");
+			_reader.setError("stage_kind", "one of encoder, retriever, reranker, engine, service");
 		}
 		row.kind = kind.value_or(StageKind::Service);
-		row.pool = _reader.text("pool", kNameLimit);
+		row.pool = _reader.text("pool", kMaxNameLength);
 		row.repeatable = _reader.booleanOr("repeatable", row.repeatable);
-		row.attempts = _reader.integerOr("attempts", 1, kRevisionMost, row.attempts);
-		row.expectedMs = _reader.integerOr("expected_ms", 1, kRevisionMost, row.expectedMs);
+		row.maxAttempts = _reader.integerOr("attempts", 1, kMaxExactInteger, row.maxAttempts);
+		row.expectedMs = _reader.integerOr("expected_ms", 1, kMaxExactInteger, row.expectedMs);
 		return row;
 	}
 	}
@@ -82,10 +82,10 @@
 
 std::optional<RowKind> readKind(JsonReader& _reader)
 {
-	const auto kind = rowKindOf(_reader.text("kind", kNameLimit));
+	const auto kind = rowKindOf(_reader.text("kind", kMaxNameLength));
 	if (!kind)
 	{
-		_reader.fault("kind", "one of workspace, pipeline, stage");
+		_reader.setError("kind", "one of workspace, pipeline, stage");
 	}
 	return kind;
 }
@@ -93,12 +93,12 @@
 absl::StatusOr<RowChange> changeFromJson(const QJsonObject& _object, const std::string& _path)
 {
 	JsonReader reader(_object, _path);
-	reader.onlyFields({"kind", "name", "base", "row"});
+	reader.rejectUnknownFields({"kind", "name", "base", "row"});
 	const auto kind = readKind(reader);
 	RowChange change;
 	change.key.kind = kind.value_or(RowKind::Workspace);
-	change.key.name = reader.text("name", kNameLimit);
-	change.baseRevision = static_cast<std::uint64_t>(reader.integerOr("base", 0, kRevisionMost, 0));
+	change.key.name = reader.text("name", kMaxNameLength);
+	change.baseRevision = static_cast<std::uint64_t>(reader.integerOr("base", 0, kMaxExactInteger, 0));
 	if (!reader.status().ok() || _object.value("row").isNull() || _object.value("row").isUndefined())
 	{
 		return reader.status().ok() ? absl::StatusOr<RowChange>(change) : reader.status();
@@ -114,33 +114,33 @@
 QJsonObject toJson(const Row& _row)
 {
 	QJsonObject object;
-	object["kind"] = text(nameOf(keyOf(_row).kind));
-	object["name"] = text(keyOf(_row).name);
+	object["kind"] = toQString(nameOf(keyOf(_row).kind));
+	object["name"] = toQString(keyOf(_row).name);
 	std::visit(
 		Overloaded{
 			[&](const WorkspaceRow& _typed)
 			{
 				object["weight"] = _typed.weight;
-				object["in_flight"] = static_cast<qint64>(_typed.inFlight);
+				object["in_flight"] = static_cast<qint64>(_typed.maxInFlight);
 			},
 			[&](const PipelineRow& _typed)
 			{
 				QJsonArray stages;
 				for (const std::string& stage : _typed.stages)
 				{
-					stages.append(text(stage));
+					stages.append(toQString(stage));
 				}
-				object["workspace"] = text(_typed.workspace);
+				object["workspace"] = toQString(_typed.workspace);
 				object["stages"] = stages;
 				object["deadline_ms"] = static_cast<qint64>(_typed.deadlineMs);
 				object["urgent"] = _typed.urgent;
 			},
 			[&](const StageRow& _typed)
 			{
-				object["stage_kind"] = text(nameOf(_typed.kind));
-				object["pool"] = text(_typed.pool);
+				object["stage_kind"] = toQString(nameOf(_typed.kind));
+				object["pool"] = toQString(_typed.pool);
 				object["repeatable"] = _typed.repeatable;
-				object["attempts"] = static_cast<qint64>(_typed.attempts);
+				object["attempts"] = static_cast<qint64>(_typed.maxAttempts);
 				object["expected_ms"] = static_cast<qint64>(_typed.expectedMs);
 			},
 		},
@@ -150,7 +150,7 @@
 
 QJsonObject toJson(const RowKey& _key)
 {
-	return QJsonObject{{"kind", text(nameOf(_key.kind))}, {"name", text(_key.name)}};
+	return QJsonObject{{"kind", toQString(nameOf(_key.kind))}, {"name", toQString(_key.name)}};
 }
 
 QJsonObject toJson(const TableEdit& _edit)
@@ -159,11 +159,11 @@
 	for (const RowChange& change : _edit.changes)
 	{
 		QJsonObject object = toJson(change.key);
-		object["base"] = number(change.baseRevision);
+		object["base"] = toQInt64(change.baseRevision);
 		object["row"] = change.row ? QJsonValue(toJson(*change.row)) : QJsonValue(QJsonValue::Null);
 		changes.append(object);
 	}
-	return QJsonObject{{"id", text(_edit.id)}, {"author", text(_edit.author)}, {"changes", changes}};
+	return QJsonObject{{"id", toQString(_edit.id)}, {"author", toQString(_edit.author)}, {"changes", changes}};
 }
 
 QJsonObject toJson(const TableSnapshot& _snapshot)
@@ -172,11 +172,11 @@
 	for (const auto& entry : _snapshot.rows)
 	{
 		QJsonObject object = toJson(entry.first);
-		object["revision"] = number(entry.second.revision);
+		object["revision"] = toQInt64(entry.second.revision);
 		object["row"] = entry.second.row ? QJsonValue(toJson(*entry.second.row)) : QJsonValue(QJsonValue::Null);
 		rows.append(object);
 	}
-	return QJsonObject{{"offset", number(_snapshot.offset)}, {"rows", rows}};
+	return QJsonObject{{"offset", toQInt64(_snapshot.offset)}, {"rows", rows}};
 }
 
 QJsonObject toJson(const EditOutcome& _outcome)
@@ -184,7 +184,7 @@
 	return std::visit(
 		Overloaded{
 			[](const EditAccepted& _typed) {
-				return QJsonObject{{"result", "accepted"}, {"offset", number(_typed.offset)}};
+				return QJsonObject{{"result", "accepted"}, {"offset", toQInt64(_typed.offset)}};
 			},
 			[](const EditConflict& _typed)
 			{
@@ -193,21 +193,21 @@
 														 ", the row is at revision ", _typed.currentRevision);
 				return QJsonObject{{"result", "conflict"},
 								   {"row", toJson(_typed.key)},
-								   {"base", number(_typed.baseRevision)},
-								   {"current", number(_typed.currentRevision)},
-								   {"message", text(message)}};
+								   {"base", toQInt64(_typed.baseRevision)},
+								   {"current", toQInt64(_typed.currentRevision)},
+								   {"message", toQString(message)}};
 			},
 			[](const EditInvalid& _typed)
 			{
 				const std::string message = absl::StrCat(std::string(nameOf(_typed.key.kind)), " ", _typed.key.name,
-														 ": ", _typed.field, ": must be ", _typed.limit);
+														 ": ", _typed.field, ": must be ", _typed.requirement);
 				return QJsonObject{{"result", "invalid"},
 								   {"row", toJson(_typed.key)},
-								   {"field", text(_typed.field)},
-								   {"message", text(message)}};
+								   {"field", toQString(_typed.field)},
+								   {"message", toQString(message)}};
 			},
 			[](const EditAlreadyApplied& _typed) {
-				return QJsonObject{{"result", "already_applied"}, {"offset", number(_typed.tableOffset)}};
+				return QJsonObject{{"result", "already_applied"}, {"offset", toQInt64(_typed.tableOffset)}};
 			},
 		},
 		_outcome);
@@ -216,17 +216,17 @@
 QJsonObject toJson(const Outcome& _outcome)
 {
 	QJsonObject object;
-	object["outcome"] = text(nameOf(_outcome.verdict));
+	object["outcome"] = toQString(nameOf(_outcome.verdict));
 	if (_outcome.verdict == Verdict::Answered)
 	{
 		return object;
 	}
-	object["reason"] = text(nameOf(_outcome.reason));
+	object["reason"] = toQString(nameOf(_outcome.reason));
 	object["repeat_safe"] = _outcome.repeatSafe;
 	object["retry_after_ms"] = static_cast<qint64>(_outcome.retryAfter / kMillisecond);
 	if (!_outcome.stage.empty())
 	{
-		object["stage"] = text(_outcome.stage);
+		object["stage"] = toQString(_outcome.stage);
 	}
 	return object;
 }
@@ -246,11 +246,11 @@
 absl::StatusOr<TableEdit> editFromJson(const QJsonObject& _object)
 {
 	JsonReader reader(_object);
-	reader.onlyFields({"id", "author", "changes", "type"});
+	reader.rejectUnknownFields({"id", "author", "changes", "type"});
 	TableEdit edit;
-	edit.id = reader.text("id", kTextLimit);
-	edit.author = reader.textOr("author", kTextLimit, "");
-	const std::vector<QJsonObject> changes = reader.objects("changes", kChangesLimit);
+	edit.id = reader.text("id", kMaxTextLength);
+	edit.author = reader.textOr("author", kMaxTextLength, "");
+	const std::vector<QJsonObject> changes = reader.objects("changes", kMaxChanges);
 	if (!reader.status().ok())
 	{
 		return reader.status();
@@ -271,14 +271,14 @@
 {
 	JsonReader reader(_object);
 	TableSnapshot snapshot;
-	snapshot.offset = static_cast<std::uint64_t>(reader.integerOr("offset", 0, kRevisionMost, 0));
-	for (const QJsonObject& object : reader.objects("rows", kRowsLimit))
+	snapshot.offset = static_cast<std::uint64_t>(reader.integerOr("offset", 0, kMaxExactInteger, 0));
+	for (const QJsonObject& object : reader.objects("rows", kMaxRows))
 	{
 		JsonReader rowReader(object, "rows.");
 		const auto kind = readKind(rowReader);
-		const std::string name = rowReader.text("name", kNameLimit);
+		const std::string name = rowReader.text("name", kMaxNameLength);
 		StoredRow stored;
-		stored.revision = static_cast<std::uint64_t>(rowReader.integerOr("revision", 0, kRevisionMost, 0));
+		stored.revision = static_cast<std::uint64_t>(rowReader.integerOr("revision", 0, kMaxExactInteger, 0));
 		if (object.value("row").isObject() && kind)
 		{
 			const QJsonObject rowObject = object.value("row").toObject();
--- a/tests/feed_world.h
+++ b/tests/feed_world.h
@@ -283,7 +283,7 @@
 	void readListing(Node& _node)
 	{
 		const ListingRead read =
-			_node.position ? this->log.since(*_node.position, this->now) : this->log.whole(this->now);
+			_node.position ? this->log.since(*_node.position, this->now) : this->log.snapshot(this->now);
 		for (const ListingChange& change : read.changes)
 		{
 			if (const auto* removal = std::get_if<UnlistedEndpoint>(&change))
--- a/tests/listing_log.h
+++ b/tests/listing_log.h
@@ -27,7 +27,7 @@
 	}
 
 	/// Another writer leaves something that names no endpoint.
-	std::uint64_t spoil(const std::string& _name)
+	std::uint64_t putUnusable(const std::string& _name)
 	{
 		const std::uint64_t position = this->end();
 		this->changes.emplace_back(UnusableEntry{_name, position});
@@ -52,18 +52,18 @@
 	}
 
 	/// @returns All changes from a position on.
-	[[nodiscard]] ListingRead since(std::uint64_t _position, Micros _begunAt) const
+	[[nodiscard]] ListingRead since(std::uint64_t _position, Micros _asOf) const
 	{
-		ListingRead read{this->end(), false, _begunAt, {}};
+		ListingRead read{this->end(), false, _asOf, {}};
 		read.changes.assign(this->changes.begin() + static_cast<std::ptrdiff_t>(_position), this->changes.end());
 		return read;
 	}
 
 	/// @returns The newest entry of each name that is there.
-	[[nodiscard]] ListingRead whole(Micros _begunAt) const
+	[[nodiscard]] ListingRead snapshot(Micros _asOf) const
 	{
-		ListingRead read{this->end(), true, _begunAt, {}};
-		for (const auto& entry : this->present())
+		ListingRead read{this->end(), true, _asOf, {}};
+		for (const auto& entry : this->entries())
 		{
 			read.changes.emplace_back(entry.second);
 		}
@@ -71,13 +71,13 @@
 	}
 
 	/// @returns The newest entry of each name that is there, by name.
-	[[nodiscard]] std::map<std::string, ListedEndpoint> present() const
+	[[nodiscard]] std::map<std::string, ListedEndpoint> entries() const
 	{
-		return this->present(this->end());
+		return this->entries(this->end());
 	}
 
 	/// @returns The newest entry of each name that was there when the log ended at a position.
-	[[nodiscard]] std::map<std::string, ListedEndpoint> present(std::uint64_t _position) const
+	[[nodiscard]] std::map<std::string, ListedEndpoint> entries(std::uint64_t _position) const
 	{
 		std::map<std::string, ListedEndpoint> entries;
 		for (std::size_t index = 0; index < _position; ++index)
--- a/tests/test_feed_exchange.cpp
+++ b/tests/test_feed_exchange.cpp
@@ -100,10 +100,10 @@
 	log.put(endpoint("stays"));
 	log.put(endpoint("goes"));
 	EndpointDirectory behind(DirectoryConfig{});
-	behind.applyRead(log.whole(kSecond), kSecond);
+	behind.applyRead(log.snapshot(kSecond), kSecond);
 	log.remove("goes");
 	EndpointDirectory ahead(DirectoryConfig{});
-	ahead.applyRead(log.whole(kSecond), kSecond);
+	ahead.applyRead(log.snapshot(kSecond), kSecond);
 	ahead.merge(behind.changesSince(0), kSecond, 2 * kSecond);
 	cr_assert_eq(ahead.endpoints().size(), 1, "a directory at position %zu replaced one at position %zu",
 				 static_cast<std::size_t>(behind.position()), static_cast<std::size_t>(log.end()));
@@ -115,11 +115,11 @@
 {
 	ListingLog log;
 	log.put(endpoint("goes"));
-	const ListingRead overtaken = log.whole(kSecond);
+	const ListingRead overtaken = log.snapshot(kSecond);
 	log.remove("goes");
 	log.put(endpoint("comes"));
 	EndpointDirectory other(DirectoryConfig{});
-	other.applyRead(log.whole(2 * kSecond), 2 * kSecond);
+	other.applyRead(log.snapshot(2 * kSecond), 2 * kSecond);
 	EndpointDirectory directory(DirectoryConfig{});
 	directory.merge(other.changesSince(0), 2 * kSecond, 2 * kSecond);
 	directory.applyRead(overtaken, 3 * kSecond);
@@ -134,10 +134,10 @@
 	before.put(endpoint("first"));
 	before.put(endpoint("second"));
 	EndpointDirectory directory(DirectoryConfig{});
-	directory.applyRead(before.whole(kSecond), kSecond);
+	directory.applyRead(before.snapshot(kSecond), kSecond);
 	ListingLog restarted;
 	restarted.put(endpoint("third"));
-	directory.applyRead(restarted.whole(2 * kSecond), 2 * kSecond);
+	directory.applyRead(restarted.snapshot(2 * kSecond), 2 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("third")});
 	cr_assert_eq(directory.position(), restarted.end());
 }
@@ -167,7 +167,7 @@
 							   log.remove(name);
 							   break;
 						   case 5:
-							   log.spoil(name);
+							   log.putUnusable(name);
 							   break;
 						   case 1:
 							   log.put(name, endpoint(name + "/" + std::to_string(log.end())));
@@ -177,7 +177,7 @@
 							   positions[one] = log.end();
 							   break;
 						   case 3:
-							   directories[one].applyRead(log.whole(now), now);
+							   directories[one].applyRead(log.snapshot(now), now);
 							   positions[one] = log.end();
 							   break;
 						   default:
@@ -188,7 +188,7 @@
 						   for (std::size_t index = 0; index < directories.size(); ++index)
 						   {
 							   std::vector<Endpoint> expected;
-							   for (const auto& entry : log.present(positions[index]))
+							   for (const auto& entry : log.entries(positions[index]))
 							   {
 								   expected.push_back(entry.second.endpoint);
 							   }
@@ -241,7 +241,7 @@
 	ListingLog log;
 	EndpointDirectory directory(DirectoryConfig{});
 	log.put("e", endpoint("e@100", true), 100);
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	log.put("e", endpoint("e@200"), 200);
 	directory.applyRead(log.since(1, 2 * kSecond), 2 * kSecond);
 	cr_assert(directory.endpoints() == std::vector<Endpoint>{endpoint("e@200")});
@@ -256,7 +256,7 @@
 	EndpointDirectory directory(config);
 	log.put("held-up", endpoint("held-up@200"), 200);
 	log.put("set-back", endpoint("set-back@200"), 200);
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	log.put("held-up", endpoint("held-up@100"), 100);
 	log.put("set-back", endpoint("set-back@100"), 100);
 	const Micros readAt = 2 * kSecond;
@@ -308,14 +308,14 @@
 							   log.remove(name);
 							   break;
 						   case 3:
-							   log.spoil(name);
+							   log.putUnusable(name);
 							   break;
 						   case 4:
 							   source.applyRead(log.since(sourcePosition, now), now);
 							   sourcePosition = log.end();
 							   break;
 						   case 5:
-							   follower.applyRead(log.whole(now), now);
+							   follower.applyRead(log.snapshot(now), now);
 							   followerPosition = log.end();
 							   break;
 						   default:
@@ -328,7 +328,7 @@
 						   for (const auto& [directory, knows] :
 								{std::pair{&source, sourcePosition}, std::pair{&follower, followerPosition}})
 						   {
-							   const auto present = log.present(knows);
+							   const auto present = log.entries(knows);
 							   for (const Endpoint& held : directory->endpoints())
 							   {
 								   const auto newest = present.find(held.id.substr(0, held.id.find('@')));
@@ -350,7 +350,7 @@
 					   follower.merge(source.changesSince(0), now, now);
 					   follower.expire(now);
 					   RC_ASSERT(source.endpoints() == follower.endpoints());
-					   RC_ASSERT(source.endpoints().size() == log.present().size());
+					   RC_ASSERT(source.endpoints().size() == log.entries().size());
 				   });
 }
 
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -137,5 +137,5 @@
 	cr_assert(std::holds_alternative<EditAccepted>(table.apply(1, edit)));
 	const auto rows = rowsFromCsv(rowsToCsv(table.snapshot()));
 	cr_assert(rows.ok(), "%s", std::string(rows.status().message()).c_str());
-	cr_assert(editTowards(table.snapshot(), *rows, "b").changes.empty());
+	cr_assert(makeEdit(table.snapshot(), *rows, "b").changes.empty());
 }
--- a/tests/test_routes.cpp
+++ b/tests/test_routes.cpp
@@ -128,7 +128,7 @@
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	log.remove("e-1");
 	directory.applyRead(log.since(2, kSecond + 500 * kMillisecond), kSecond + 500 * kMillisecond);
 	cr_assert(usableIds(directory) == std::vector<std::string>{"e-2"});
@@ -140,11 +140,11 @@
 	ListingLog log;
 	log.put(endpoint("e-1"));
 	log.put(endpoint("e-2"));
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	log.remove("e-1");
 	log.remove("e-2");
 	const Micros availableAt = 10 * kSecond;
-	directory.applyRead(log.whole(availableAt), availableAt);
+	directory.applyRead(log.snapshot(availableAt), availableAt);
 	cr_assert_eq(usableIds(directory).size(), 2);
 	log.put(endpoint("e-1"));
 	directory.applyRead(log.since(4, availableAt + kSecond), availableAt + kSecond);
@@ -158,7 +158,7 @@
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	const Micros availableAt = 10 * kSecond;
 	directory.applyRead(log.since(1, availableAt), availableAt);
 	log.remove("e-1");
@@ -173,7 +173,7 @@
 	EndpointDirectory directory(DirectoryConfig{});
 	ListingLog log;
 	log.put(endpoint("e-1"));
-	directory.applyRead(log.whole(kSecond), kSecond);
+	directory.applyRead(log.snapshot(kSecond), kSecond);
 	log.remove("e-1");
 	directory.applyRead(log.since(1, 3 * kSecond), 3 * kSecond);
 	cr_assert(usableIds(directory).empty());
--- a/tests/test_table.cpp
+++ b/tests/test_table.cpp
@@ -18,12 +18,12 @@
 /// The platform's log with limited retention.
 struct ModelLog
 {
-	std::uint64_t first = 1;
+	std::uint64_t oldestOffset = 1;
 	std::deque<LogEntry> entries;
 
 	std::uint64_t append(const LogRecord& _record)
 	{
-		const std::uint64_t offset = this->first + this->entries.size();
+		const std::uint64_t offset = this->oldestOffset + this->entries.size();
 		// Through the text form, as on the wire.
 		const auto read = recordFromText(recordToText(_record));
 		RC_ASSERT(read.ok());
@@ -31,12 +31,12 @@
 		return offset;
 	}
 
-	std::vector<LogEntry> from(std::uint64_t _offset, std::size_t _most) const
+	std::vector<LogEntry> from(std::uint64_t _offset, std::size_t _maxCount) const
 	{
 		std::vector<LogEntry> result;
 		for (const LogEntry& entry : this->entries)
 		{
-			if (entry.offset >= _offset && result.size() < _most)
+			if (entry.offset >= _offset && result.size() < _maxCount)
 			{
 				result.push_back(entry);
 			}
@@ -49,7 +49,7 @@
 		while (this->entries.size() > _keep)
 		{
 			this->entries.pop_front();
-			this->first += 1;
+			this->oldestOffset += 1;
 		}
 	}
 };
@@ -75,17 +75,17 @@
 		{
 			change.row = WorkspaceRow{name, *rc::gen::element(0.5, 1.0, 2.0, 5000.0), 0};
 		}
-		const TableEdit edit{"edit-" + std::to_string(++this->lastEdit), "ana", {change}};
-		this->sent.push_back(edit);
+		const TableEdit edit{"edit-" + std::to_string(++this->editCount), "ana", {change}};
+		this->sentEdits.push_back(edit);
 		this->appendEdit(edit);
 	}
 
 	/// The answer to an append was lost, and somebody sends the same edit again.
-	void repeat()
+	void resendEdit()
 	{
-		if (!this->sent.empty())
+		if (!this->sentEdits.empty())
 		{
-			this->appendEdit(*rc::gen::elementOf(this->sent));
+			this->appendEdit(*rc::gen::elementOf(this->sentEdits));
 		}
 	}
 
@@ -95,59 +95,60 @@
 		const EditOutcome outcome = this->oracle.apply(offset, _edit);
 		if (std::holds_alternative<EditAccepted>(outcome))
 		{
-			RC_ASSERT(this->accepted.insert(_edit.id).second);
+			RC_ASSERT(this->acceptedIds.insert(_edit.id).second);
 		}
 	}
 
-	void snapshot(std::size_t _node)
+	void appendSnapshot(std::size_t _node)
 	{
 		const TableSnapshot& state = this->nodes[_node].table().snapshot();
 		if (!this->nodes[_node].hasGap() && state.offset > 0)
 		{
 			this->oracle.skip(this->log.append(state));
-			this->covered = std::max(this->covered, state.offset);
+			this->coveredOffset = std::max(this->coveredOffset, state.offset);
 		}
 	}
 
-	void read(std::size_t _node)
+	void readLog(std::size_t _node)
 	{
-		LogFold& node = this->nodes[_node];
+		TableReplica& node = this->nodes[_node];
 		const std::uint64_t before = node.table().snapshot().offset;
-		const std::size_t most = *rc::gen::inRange<std::size_t>(1, 6);
-		node.take(this->log.first, this->log.from(node.nextOffset(), most));
+		const std::size_t maxEntries = *rc::gen::inRange<std::size_t>(1, 6);
+		node.applyEntries(this->log.oldestOffset, this->log.from(node.nextOffset(), maxEntries));
 		RC_ASSERT(node.table().snapshot().offset >= before);
 	}
 
 	/// A VM is replaced by one that holds nothing.
-	void replace(std::size_t _node)
+	void replaceNode(std::size_t _node)
 	{
-		this->nodes[_node] = LogFold();
+		this->nodes[_node] = TableReplica();
 	}
 
-	void askPeer(std::size_t _node, std::size_t _peer)
+	void installSnapshotFromPeer(std::size_t _node, std::size_t _peer)
 	{
-		const TableSnapshot given = this->nodes[_peer].table().snapshot();
+		const TableSnapshot peerSnapshot = this->nodes[_peer].table().snapshot();
 		const std::uint64_t before = this->nodes[_node].table().snapshot().offset;
-		this->nodes[_node].takeSnapshot(given);
+		this->nodes[_node].installSnapshot(peerSnapshot);
 		RC_ASSERT(this->nodes[_node].table().snapshot().offset >= before);
 	}
 
 	/// Records expire, but never those since the newest snapshot on the log: that is the snapshots' duty.
 	void expire()
 	{
-		const std::uint64_t next = this->log.first + this->log.entries.size();
-		const std::uint64_t keep = next - (this->covered + 1) + 1;
+		const std::uint64_t next = this->log.oldestOffset + this->log.entries.size();
+		const std::uint64_t keep = next - (this->coveredOffset + 1) + 1;
 		this->log.expire(static_cast<std::size_t>(std::min<std::uint64_t>(keep, this->log.entries.size())));
 	}
 
 	/// After all is read, every node holds what the oracle holds.
-	void settle()
+	void checkConvergence()
 	{
-		for (LogFold& node : this->nodes)
+		for (TableReplica& node : this->nodes)
 		{
-			for (int round = 0; round < 400 && node.nextOffset() < this->log.first + this->log.entries.size(); ++round)
+			for (int round = 0; round < 400 && node.nextOffset() < this->log.oldestOffset + this->log.entries.size();
+				 ++round)
 			{
-				node.take(this->log.first, this->log.from(node.nextOffset(), 5));
+				node.applyEntries(this->log.oldestOffset, this->log.from(node.nextOffset(), 5));
 			}
 			if (!node.hasGap())
 			{
@@ -155,19 +156,19 @@
 			}
 			else
 			{
-				RC_ASSERT(this->covered == 0);
+				RC_ASSERT(this->coveredOffset == 0);
 			}
 		}
 	}
 
 private:
 	ModelLog log;
-	std::vector<LogFold> nodes;
+	std::vector<TableReplica> nodes;
 	Table oracle;
-	std::vector<TableEdit> sent;
-	std::set<std::string> accepted;
-	std::uint64_t covered = 0;
-	std::uint64_t lastEdit = 0;
+	std::vector<TableEdit> sentEdits;
+	std::set<std::string> acceptedIds;
+	std::uint64_t coveredOffset = 0;
+	std::uint64_t editCount = 0;
 };
 
 void step(World& _world)
@@ -181,22 +182,22 @@
 		_world.edit(node);
 		break;
 	case 3:
-		_world.repeat();
+		_world.resendEdit();
 		break;
 	case 4:
-		_world.snapshot(node);
+		_world.appendSnapshot(node);
 		break;
 	case 5:
-		_world.replace(node);
+		_world.replaceNode(node);
 		break;
 	case 6:
-		_world.askPeer(node, *rc::gen::inRange<std::size_t>(0, 3));
+		_world.installSnapshotFromPeer(node, *rc::gen::inRange<std::size_t>(0, 3));
 		break;
 	case 7:
 		_world.expire();
 		break;
 	default:
-		_world.read(node);
+		_world.readLog(node);
 		break;
 	}
 }
@@ -214,7 +215,7 @@
 					   {
 						   step(world);
 					   }
-					   world.settle();
+					   world.checkConvergence();
 				   });
 }
 
@@ -239,7 +240,7 @@
 	StageRow row;
 	row.name = "encode";
 	row.pool = "gpu";
-	row.attempts = 9;
+	row.maxAttempts = 9;
 	const EditOutcome outcome = table.apply(1, TableEdit{"a", "ana", {RowChange{key, 0, row}}});
 	const auto expected = EditInvalid{key, "attempts", "a whole number from 1 to 5"};
 	cr_assert(std::get<EditInvalid>(outcome) == expected);
--- a/tools/roadferry.cpp
+++ b/tools/roadferry.cpp
@@ -178,7 +178,7 @@
 		return object.ok() ? editFromJson(*object) : object.status();
 	}
 	const auto rows = rowsFromCsv(text.str());
-	return rows.ok() ? absl::StatusOr<TableEdit>(editTowards(_table, *rows, id)) : rows.status();
+	return rows.ok() ? absl::StatusOr<TableEdit>(makeEdit(_table, *rows, id)) : rows.status();
 }
 
 void printChange(const TableSnapshot& _table, const RowChange& _change)
