--- a/src/json.cpp
+++ b/src/json.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// Whole numbers up to this are exact in JSON numbers.
+/// 2^53: a double, and so a JSON number, represents all whole numbers up to this exactly.
 constexpr double kMaxExactInteger = 9'007'199'254'740'992.0;
 
 } // namespace
--- a/src/json.h
+++ b/src/json.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Reading JSON that comes from outside: each fault names the field and the limit.
+/// Parsing and validation of JSON from outside the process. Errors name the field and its requirement.
 
 #ifndef ROADFERRY_JSON_H_HEADER_GUARD
 #define ROADFERRY_JSON_H_HEADER_GUARD
@@ -23,47 +23,50 @@
 namespace roadferry
 {
 
-/// @returns The object, or InvalidArgument when the text is not one JSON object.
+/// @returns The object, or InvalidArgument if the text is not a JSON object.
 absl::StatusOr<QJsonObject> parseObject(const std::string& _text);
 
 /// @returns The object as compact text.
 std::string toText(const QJsonObject& _object);
 
-/// Reads the fields of one object. The first fault is kept; later calls then return defaults.
+/// Reads the fields of one object. A field that is invalid reads as its default or empty; status() reports the first
+/// error.
 class JsonReader
 {
 public:
 	/// @param[in] _object The object; must outlive the reader.
-	/// @param[in] _path Put before the names of fields in messages, for instance "row.".
+	/// @param[in] _path Prefix of field names in messages, for instance "row.".
 	explicit JsonReader(const QJsonObject& _object, std::string _path = {});
 
-	/// Field that must be there: text of 1 to _maxLength characters.
+	/// Reads a required text of 1 to _maxLength bytes in UTF-8.
 	std::string text(const char* _name, std::size_t _maxLength);
 
-	/// Field that may be missing: text of at most _maxLength characters.
+	/// Reads an optional text of at most _maxLength bytes in UTF-8.
 	std::string textOr(const char* _name, std::size_t _maxLength, std::string _default);
 
-	/// Field that may be missing: whole number within the range.
+	/// Reads an optional whole number from _min to _max.
 	std::int64_t integerOr(const char* _name, std::int64_t _min, std::int64_t _max, std::int64_t _default);
 
-	/// Field that may be missing: any finite number.
+	/// Reads an optional finite number.
 	double numberOr(const char* _name, double _default);
 
+	/// Reads an optional boolean.
 	bool booleanOr(const char* _name, bool _default);
 
-	/// Field that must be there: list of texts.
+	/// Reads a required list of at most _maxCount texts of at most _maxLength bytes each.
 	std::vector<std::string> texts(const char* _name, std::size_t _maxCount, std::size_t _maxLength);
 
-	/// Field that must be there: list of objects.
+	/// Reads a required list of at most _maxCount objects.
 	std::vector<QJsonObject> objects(const char* _name, std::size_t _maxCount);
 
-	/// Records a fault of a field.
+	/// Records that a field is invalid, unless there is an error already.
+	/// @param[in] _requirement Continues the sentence "must be".
 	void setError(const std::string& _name, const std::string& _requirement);
 
-	/// Faults every field that is not among those named.
+	/// Records an error for a field that is not among _names.
 	void rejectUnknownFields(const std::vector<std::string>& _names);
 
-	/// @returns Ok, or InvalidArgument with the first fault.
+	/// @returns Ok, or InvalidArgument with the first error.
 	[[nodiscard]] const absl::Status& status() const;
 
 private:
--- a/src/platform.cpp
+++ b/src/platform.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the calls to the platform.
+/// Implementation of the platform client.
 
 #include "platform.h"
 
@@ -113,7 +113,7 @@
 	return reader.status().ok() ? absl::StatusOr<LoadReport>(report) : reader.status();
 }
 
-/// Turns the text of an answer into a value, and hands on errors.
+/// @returns A callback that parses the body of a response and passes the value, or the error, to _callback.
 template<class Value>
 std::function<void(absl::StatusOr<std::string>)> parseThenCall(absl::StatusOr<Value> (*_parse)(const std::string&),
 															   std::function<void(absl::StatusOr<Value>)> _callback)
--- a/src/platform.h
+++ b/src/platform.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The platform's log service and VM list, over HTTP. Runs on the control thread.
+/// HTTP client for the platform's log service and VM list, and for endpoints' load reports. Runs on the control thread.
 
 #ifndef ROADFERRY_PLATFORM_H_HEADER_GUARD
 #define ROADFERRY_PLATFORM_H_HEADER_GUARD
@@ -18,30 +18,30 @@
 namespace roadferry
 {
 
-/// Records as the log gave them.
+/// Records read from the log.
 struct LogPage
 {
-	std::uint64_t oldestOffset = 0; ///< Oldest record that is still held.
-	std::uint64_t nextOffset = 0;   ///< Offset that the next append will get.
+	std::uint64_t oldestOffset = 0; ///< Offset of the oldest record that the log still holds.
+	std::uint64_t nextOffset = 0;   ///< Offset that the next appended record will get.
 	std::vector<LogEntry> entries;
 };
 
-/// The VM list, sorted by what each VM does.
+/// The VM list, split by role.
 struct VmList
 {
 	std::vector<Endpoint> endpoints;
-	std::vector<std::string> peers; ///< Addresses at which other nodes are reached.
+	std::vector<std::string> peers; ///< Addresses of the nodes.
 	bool operator==(const VmList&) const = default;
 };
 
-/// Calls the platform. All calls may be sent twice without harm: reads change nothing, and of an edit's copies the
-/// table takes the first only. QNetworkAccessManager is fit for them for that reason.
+/// Calls the platform and the endpoints. QNetworkAccessManager may send a call twice, which is safe for all calls here:
+/// reads change nothing, and the table accepts only the first copy of an edit.
 class Platform
 {
 public:
 	Platform(std::string _logAddress, std::string _vmListAddress);
 
-	/// Functions are called on the control thread; with an error when the platform does not answer well.
+	/// Callbacks run on the control thread. They receive an error if no valid answer arrives.
 	void readLog(std::uint64_t _from, std::function<void(absl::StatusOr<LogPage>)> _callback);
 	void append(const std::string& _record, std::function<void(absl::Status)> _callback);
 	void readVmList(std::function<void(absl::StatusOr<VmList>)> _callback);
