--- a/src/control.cpp
+++ b/src/control.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the control state.
+/// Implementation of a node's control state.
 
 #include "control.h"
 
@@ -95,7 +95,7 @@
 	{
 		return;
 	}
-	// One peer at a time, each in its turn.
+	// Asks one peer per call, in round-robin order.
 	const std::string& peer = this->peerList[this->nextPeer++ % this->peerList.size()];
 	this->send(peer, TableAsk{this->tableReplica.table().snapshot().offset});
 }
@@ -115,7 +115,7 @@
 	const auto snapshot = object.ok() ? snapshotFromJson(*object) : object.status();
 	if (!snapshot.ok())
 	{
-		logWarning("control", absl::StrCat("table of a peer: ", std::string(snapshot.status().message())));
+		logWarning("control", absl::StrCat("table from a peer is invalid: ", std::string(snapshot.status().message())));
 		return;
 	}
 	this->logCaughtUp = true;
@@ -129,7 +129,7 @@
 {
 	this->traffic.setTable(std::make_shared<const Table>(this->tableReplica.table()));
 	this->view.setTable(this->tableReplica.table());
-	logInfo("control", absl::StrCat("table in force at offset ", this->tableReplica.table().snapshot().offset));
+	logInfo("control", absl::StrCat("table published at offset ", this->tableReplica.table().snapshot().offset));
 }
 
 std::size_t Control::rank() const
@@ -155,7 +155,8 @@
 		return;
 	}
 	this->snapshotDueSince = monotonicNow();
-	logInfo("control", absl::StrCat("appending a snapshot of offset ", this->tableReplica.table().snapshot().offset));
+	logInfo("control",
+			absl::StrCat("appending a snapshot of the table at offset ", this->tableReplica.table().snapshot().offset));
 	this->platform.append(recordToText(this->tableReplica.table().snapshot()), [](const absl::Status&) {});
 }
 
@@ -166,7 +167,7 @@
 		_callback(*knownOutcome);
 		return;
 	}
-	// What is refused by the rows as they stand needs no record.
+	// An edit that the current rows refuse needs no record.
 	const EditOutcome expected = this->tableReplica.table().check(_edit);
 	if (!std::holds_alternative<EditAccepted>(expected))
 	{
@@ -187,10 +188,10 @@
 								  this->readLog();
 								  return;
 							  }
-							  // The record may be there all the same. It is looked for, and not appended again: a
-							  // second copy could only lose to the first.
-							  logWarning("control", absl::StrCat("append of edit ", id,
-																 " not answered: ", std::string(_status.message())));
+							  // The record may still be on the log. The edit waits for it and is not appended again,
+							  // since the table would refuse a second copy.
+							  logWarning("control", absl::StrCat("append of edit ", id, " was not confirmed: ",
+																 std::string(_status.message())));
 						  });
 }
 
--- a/src/control.h
+++ b/src/control.h
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// Control state of a node: the table, the VM list, leaving endpoints. Runs on the control thread, Qt's main loop.
+/// Control state of a node: the table, the VM list and the leaving endpoints. Runs on the control thread, in Qt's main
+/// loop.
 
 #ifndef ROADFERRY_CONTROL_H_HEADER_GUARD
 #define ROADFERRY_CONTROL_H_HEADER_GUARD
@@ -19,27 +20,28 @@
 namespace roadferry
 {
 
-/// What an operator is told of an edit.
+/// Receives the outcome of an edit, or nothing if it is not known in time.
 using EditCallback = std::function<void(std::optional<EditOutcome>)>;
 
-/// Keeps control state up to date and hands immutable copies to the traffic threads.
+/// Keeps the control state up to date and passes immutable copies to the traffic threads.
 class Control
 {
 public:
 	/// @param[in] _self Address of this node, as other nodes know it.
-	/// @param[in] _endpointsPerPool Most endpoints of one pool that this node uses.
+	/// @param[in] _endpointsPerPool Maximum number of endpoints per pool that this node uses.
 	Control(Platform& _platform, Traffic& _traffic, ClusterView& _view, std::string _self,
 			std::size_t _endpointsPerPool, std::function<void(const std::string&, const PeerMessage&)> _send);
 
-	/// Begins to read the log and the VM list.
+	/// Starts reading the log, the VM list and the endpoints' load reports.
 	void start();
 
-	/// Appends an edit and waits until it was read back.
-	/// @param[in] _callback Called with the outcome, or with nothing when the log did not tell in time; the edit may
-	/// take effect later then.
+	/// Appends an edit to the log and waits until it is read back. An edit whose outcome is known already, or that the
+	/// current rows refuse, is not appended.
+	/// @param[in] _callback Called with the outcome, or with nothing if the record was not read back in time; the edit
+	/// may still take effect later.
 	void edit(const TableEdit& _edit, const EditCallback& _callback);
 
-	/// Takes a message of another node.
+	/// Processes a message from another node.
 	void onTableRequest(const std::string& _peer, const TableAsk& _request);
 	void onTableResponse(const TableGive& _response);
 	void onLeavingNotice(const LeavingWord& _notice);
@@ -47,7 +49,7 @@
 	[[nodiscard]] const TableReplica& replica() const;
 	[[nodiscard]] const std::vector<std::string>& peers() const;
 
-	/// @returns Whether the table and the VM list were read at least once.
+	/// @returns Whether the table and the VM list have been read at least once.
 	[[nodiscard]] bool isReady() const;
 
 private:
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the interface for operators.
+/// Implementation of the HTTP interface for operators.
 
 #include "operator_api.h"
 
--- a/src/operator_api.h
+++ b/src/operator_api.h
@@ -18,15 +18,17 @@
 namespace roadferry
 {
 
-/// Serves what the command line roadferry asks for. Requests are handled on the control thread.
+/// Serves the requests of the command-line tool roadferry, and /metrics. Operators' requests are handled on the control
+/// thread.
 class OperatorApi
 {
 public:
 	/// @param[in] _controlThread Object that lives on the control thread.
+	/// @param[in] _drain Called on the control thread when an operator drains the node.
 	OperatorApi(const Settings& _settings, Control& _control, ClusterView& _view, Traffic& _traffic, Metrics& _metrics,
 				QObject& _controlThread, std::function<void()> _drain);
 
-	/// @returns Whether the request was for this interface.
+	/// @returns Whether the request belongs to this interface.
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 private:
--- a/src/row_csv.cpp
+++ b/src/row_csv.cpp
@@ -22,7 +22,7 @@
 
 constexpr const char* kHeader = "kind,name,field,value";
 
-/// Text of a JSON value as a spreadsheet shows it; lists are parted by spaces.
+/// @returns Text of a JSON value for a cell; the elements of a list are separated by spaces.
 std::string toCell(const QJsonValue& _value)
 {
 	if (_value.isArray())
@@ -38,7 +38,8 @@
 	return _value.toVariant().toString().toStdString();
 }
 
-/// JSON value of a cell: a list for stages, a number or a boolean where it reads as one, a text otherwise.
+/// @returns JSON value of a cell: a list for the field stages, otherwise a number or a boolean if the text is one, and
+/// text if not.
 QJsonValue parseCell(const std::string& _field, const std::string& _cell)
 {
 	if (_field == "stages")
--- a/src/row_csv.h
+++ b/src/row_csv.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Rows as a spreadsheet holds them: a line for each field, with the columns kind, name, field, value.
+/// Rows as CSV for spreadsheets: one line per field, with the columns kind, name, field, value.
 
 #ifndef ROADFERRY_ROW_CSV_H_HEADER_GUARD
 #define ROADFERRY_ROW_CSV_H_HEADER_GUARD
@@ -17,11 +17,12 @@
 /// @returns All rows as CSV with a header line.
 std::string rowsToCsv(const TableSnapshot& _table);
 
-/// Reads rows from CSV. Fields that are left out have their defaults.
-/// @returns The rows, or InvalidArgument that names the line and what is wrong with it.
+/// Parses rows from CSV. Missing optional fields have their defaults.
+/// @returns The rows, or InvalidArgument that names the line or the row, and what is wrong with it.
 absl::StatusOr<std::vector<Row>> rowsFromCsv(const std::string& _text);
 
-/// Works out the edit that turns the table's rows into those given. Rows that are not given stay as they are.
+/// Makes the edit that creates or changes the given rows. Equal rows are left out, and other rows of the table are not
+/// changed.
 /// @param[in] _id Id of the edit.
 TableEdit makeEdit(const TableSnapshot& _table, const std::vector<Row>& _rows, const std::string& _id);
 
--- a/src/table.cpp
+++ b/src/table.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The table: limits of each row, and the fold of the log's records into rows.
+/// The table: limits of the rows' fields, and the application of edits to the rows.
 
 #include <roadferry/roadferry.h>
 
--- a/src/table_json.cpp
+++ b/src/table_json.cpp
@@ -33,7 +33,8 @@
 	return static_cast<qint64>(_number);
 }
 
-/// A row without checking its limits: those are the table's own business, so that they are the same on each node.
+/// Reads a row without checking the limits of its values. The table checks them when it applies an edit, so that every
+/// node reaches the same outcome.
 std::optional<Row> readRow(JsonReader& _reader, RowKind _kind)
 {
 	const std::string name = _reader.text("name", kMaxNameLength);
--- a/src/table_json.h
+++ b/src/table_json.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// JSON form of rows, edits and snapshots: on the log, in the operators' interface and on the command line.
+/// JSON form of rows, edits and snapshots, as used on the log, in the API for operators and by the command-line tool.
 
 #ifndef ROADFERRY_TABLE_JSON_H_HEADER_GUARD
 #define ROADFERRY_TABLE_JSON_H_HEADER_GUARD
@@ -23,12 +23,13 @@
 QJsonObject toJson(const EditOutcome& _outcome);
 QJsonObject toJson(const Outcome& _outcome);
 
-/// Reads a row; faults name the field.
+/// Parse one object each.
+/// @returns The value, or InvalidArgument that names the invalid field.
 absl::StatusOr<Row> rowFromJson(const QJsonObject& _object);
 absl::StatusOr<TableEdit> editFromJson(const QJsonObject& _object);
 absl::StatusOr<TableSnapshot> snapshotFromJson(const QJsonObject& _object);
 
-/// Text of a record as it stands on the log.
+/// Text form of a record on the log.
 std::string recordToText(const LogRecord& _record);
 absl::StatusOr<LogRecord> recordFromText(const std::string& _text);
 
--- a/src/table_replica.cpp
+++ b/src/table_replica.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Reads the log's records into the table, over records that have expired.
+/// Applies the log's records to the table, and bridges expired records with a snapshot.
 
 #include <roadferry/roadferry.h>
 
@@ -17,7 +17,7 @@
 {
 
 constexpr std::size_t kMaxHistory = 2'000;
-constexpr Micros kSnapshotDelayPerRank = 3 * kSecond; ///< Time that each rank waits for the one before it.
+constexpr Micros kSnapshotDelayPerRank = 3 * kSecond; ///< Time by which each rank waits longer than the one before it.
 
 } // namespace
 
@@ -36,7 +36,8 @@
 	const std::uint64_t before = this->current.snapshot().offset;
 	if (_oldestOffset > this->nextOffset())
 	{
-		// Whatever waits may itself have holes now; it is read again from the oldest record there is.
+		// More records have expired, so the stored ones are no longer contiguous with those to come. Reading starts
+		// again at the oldest record that the log holds.
 		this->entriesAfterGap.clear();
 		this->lastReadOffset = _oldestOffset - 1;
 		this->gapEnd = _oldestOffset > before + 1 ? _oldestOffset : 0;
