--- a/tests/listing_log.h
+++ b/tests/listing_log.h
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// A platform's log of endpoints' entries, for tests: entries get positions, and readings are made from any position.
+/// A model of a platform's log of endpoint entries, for tests: each change gets a position, and reads start at any
+/// position.
 
 #ifndef ROADFERRY_LISTING_LOG_H_HEADER_GUARD
 #define ROADFERRY_LISTING_LOG_H_HEADER_GUARD
@@ -14,10 +15,11 @@
 namespace roadferry
 {
 
-/// The log.
+/// Log of entries that list and unlist endpoints.
 class ListingLog
 {
 public:
+	/// Lists an endpoint.
 	/// @returns Position of the new entry.
 	std::uint64_t put(const std::string& _name, const Endpoint& _endpoint, std::int64_t _startedAt = 0)
 	{
@@ -26,7 +28,8 @@
 		return position;
 	}
 
-	/// Another writer leaves something that names no endpoint.
+	/// Appends an entry that describes no endpoint, as another writer could.
+	/// @returns Position of the new entry.
 	std::uint64_t putUnusable(const std::string& _name)
 	{
 		const std::uint64_t position = this->end();
@@ -59,7 +62,7 @@
 		return read;
 	}
 
-	/// @returns The newest entry of each name that is there.
+	/// @returns The newest entry of each listed name.
 	[[nodiscard]] ListingRead snapshot(Micros _asOf) const
 	{
 		ListingRead read{this->end(), true, _asOf, {}};
@@ -70,13 +73,13 @@
 		return read;
 	}
 
-	/// @returns The newest entry of each name that is there, by name.
+	/// @returns The newest entry of each listed name, by name.
 	[[nodiscard]] std::map<std::string, ListedEndpoint> entries() const
 	{
 		return this->entries(this->end());
 	}
 
-	/// @returns The newest entry of each name that was there when the log ended at a position.
+	/// @returns The newest entry of each name that was listed when the log ended at a position.
 	[[nodiscard]] std::map<std::string, ListedEndpoint> entries(std::uint64_t _position) const
 	{
 		std::map<std::string, ListedEndpoint> entries;
--- a/tests/test_table.cpp
+++ b/tests/test_table.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// The table: operators that race, answers that are lost, records that expire, nodes that start anew. The oracle is one
-/// table that sees every record.
+/// Tests of the table with concurrent operators, lost answers, expired records and replaced nodes. The oracle is a
+/// table that applies every record.
 
 #include "property.h"
 #include "table_json.h"
@@ -15,7 +15,7 @@
 
 using namespace roadferry;
 
-/// The platform's log with limited retention.
+/// Model of the platform's log, with limited retention.
 struct ModelLog
 {
 	std::uint64_t oldestOffset = 1;
@@ -24,7 +24,7 @@
 	std::uint64_t append(const LogRecord& _record)
 	{
 		const std::uint64_t offset = this->oldestOffset + this->entries.size();
-		// Through the text form, as on the wire.
+		// Converts the record to its text form and back, as on the wire.
 		const auto read = recordFromText(recordToText(_record));
 		RC_ASSERT(read.ok());
 		this->entries.push_back(LogEntry{offset, *read});
@@ -54,6 +54,7 @@
 	}
 };
 
+/// A log, three nodes that read it, and the oracle.
 class World
 {
 public:
@@ -61,7 +62,7 @@
 	{
 	}
 
-	/// Two operators may hold the same old view; copies of one edit may be appended twice.
+	/// An operator edits one row, based on the table of one node, which may be out of date.
 	void edit(std::size_t _node)
 	{
 		const TableSnapshot& view = this->nodes[_node].table().snapshot();
@@ -80,7 +81,7 @@
 		this->appendEdit(edit);
 	}
 
-	/// The answer to an append was lost, and somebody sends the same edit again.
+	/// The same edit is appended again, as after a lost answer to an append.
 	void resendEdit()
 	{
 		if (!this->sentEdits.empty())
@@ -118,7 +119,7 @@
 		RC_ASSERT(node.table().snapshot().offset >= before);
 	}
 
-	/// A VM is replaced by one that holds nothing.
+	/// Replaces a VM by one with an empty table.
 	void replaceNode(std::size_t _node)
 	{
 		this->nodes[_node] = TableReplica();
@@ -132,7 +133,8 @@
 		RC_ASSERT(this->nodes[_node].table().snapshot().offset >= before);
 	}
 
-	/// Records expire, but never those since the newest snapshot on the log: that is the snapshots' duty.
+	/// Expires old records, but none after the last offset that a snapshot on the log covers; appending snapshots in
+	/// time is the nodes' task.
 	void expire()
 	{
 		const std::uint64_t next = this->log.oldestOffset + this->log.entries.size();
@@ -140,7 +142,8 @@
 		this->log.expire(static_cast<std::size_t>(std::min<std::uint64_t>(keep, this->log.entries.size())));
 	}
 
-	/// After all is read, every node holds what the oracle holds.
+	/// Checks that every node holds the oracle's table after it has read the whole log. A node may have a gap only
+	/// while no snapshot was appended.
 	void checkConvergence()
 	{
 		for (TableReplica& node : this->nodes)
@@ -204,7 +207,7 @@
 
 } // namespace
 
-Test(table, all_nodes_end_with_the_rows_of_the_oracle)
+Test(table, all_nodes_converge_to_the_table_of_the_oracle)
 {
 	checkHistories("table",
 				   []
@@ -219,7 +222,7 @@
 				   });
 }
 
-Test(table, late_copy_of_an_edit_cannot_bring_a_deleted_row_back)
+Test(table, delayed_copy_of_an_edit_does_not_restore_a_deleted_row)
 {
 	const RowKey key{RowKind::Workspace, "hall"};
 	const TableEdit create{"a", "ana", {RowChange{key, 0, WorkspaceRow{"hall", 1.0, 0}}}};
@@ -233,7 +236,7 @@
 	cr_assert_null(table.workspace("hall"));
 }
 
-Test(table, edit_that_breaks_a_limit_names_row_field_and_limit)
+Test(table, invalid_edit_reports_row_field_and_requirement)
 {
 	Table table;
 	const RowKey key{RowKind::Stage, "encode"};
@@ -246,7 +249,7 @@
 	cr_assert(std::get<EditInvalid>(outcome) == expected);
 }
 
-Test(table, records_and_rows_survive_hostile_text)
+Test(table, arbitrary_record_text_is_parsed_or_rejected_with_a_message)
 {
 	checkHistories("records",
 				   []
