--- a/src/row_csv.cpp
+++ b/src/row_csv.cpp
@@ -38,8 +38,8 @@
 	return _value.toVariant().toString().toStdString();
 }
 
-/// @returns JSON value of a cell: a list for the field stages, otherwise a number or a boolean if the text is one, and
-/// text if not.
+/// @returns JSON value of a cell: a list for the field stages, a number or a boolean if the text is one, otherwise
+/// text.
 QJsonValue parseCell(const std::string& _field, const std::string& _cell)
 {
 	if (_field == "stages")
