--- a/src/forward_traffic.h
+++ b/src/forward_traffic.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Requests that are forwarded byte for byte: routed, admitted, taken through their stages, placed, and answered.
+/// Handling of requests that are forwarded byte for byte: routing, admission, stages, placement and response.
 
 #ifndef ROADFERRY_FORWARD_TRAFFIC_H_HEADER_GUARD
 #define ROADFERRY_FORWARD_TRAFFIC_H_HEADER_GUARD
@@ -23,115 +23,117 @@
 /// Settings of ForwardTraffic.
 struct ForwardSettings
 {
-	std::string self; ///< Address of this node, as other nodes know it.
+	std::string self; ///< Address of this node as used by other nodes.
 	DispatcherConfig dispatcher;
 	PieceSchedulerConfig pieces;
-	Micros lease = 2 * kSecond; ///< How old routes and endpoints may be that decide about a request.
+	Micros lease = 2 * kSecond; ///< Maximum age of routes and endpoints that are used to handle a request.
 };
 
-/// Endpoints reset connections beyond a number that all nodes share: what rests at one node must leave room for the
-/// requests of all others, which may not be sent again after a reset.
-/// @param[in] _pool Pool of the endpoint, null when it is not known.
-/// @param[in] _nodes Live nodes, at least one.
-/// @returns Idle connections to one endpoint that a node may keep.
-std::size_t idleConnectionsOf(const PoolSpec* _pool, std::size_t _nodes);
+/// Limits the idle connections to an endpoint. An endpoint resets connections beyond a limit that all nodes share, and
+/// a request that is cut off by a reset may not be sent again, so the idle connections of one node must leave enough
+/// for the requests of the others.
+/// @param[in] _pool Pool of the endpoint, null when unknown.
+/// @param[in] _nodes Number of live nodes, at least one.
+/// @returns Maximum number of idle connections that a node keeps to one endpoint.
+std::size_t maxIdleConnections(const PoolSpec* _pool, std::size_t _nodes);
 
-/// All forwarded requests of this node. Everything runs on thread 0 of the pool; functions that say so may be called
-/// from any thread.
+/// All forwarded requests of this node. Runs on thread 0 of the pool; only functions documented so may be called from
+/// any thread.
 class ForwardTraffic
 {
 public:
-	ForwardTraffic(IoPool& _pool, HttpClient& _client, const Wire& _wire, Metrics& _metrics,
+	ForwardTraffic(IoPool& _pool, HttpClient& _client, const WireFormat& _wire, Metrics& _metrics,
 				   const ForwardSettings& _settings,
 				   std::function<void(const std::string&, const PieceMessage&)> _send);
 	~ForwardTraffic();
 
-	/// Begins to watch deadlines.
+	/// Starts the timer that checks deadlines.
 	void start();
 
-	/// Takes a client's request. On thread 0.
+	/// Handles a client's request. Called on thread 0.
 	void handle(HttpRequest _request, const std::shared_ptr<HttpReply>& _reply);
 
-	/// Each of these may be called from any thread.
+	/// The functions from here to inFlight() may be called from any thread.
 	void setPlan(const std::shared_ptr<const RoutePlan>& _plan);
-	/// @param[in] _position Position of the listing in the platform's log, for the logs.
+	/// @param[in] _position Position of the listing in the platform's log; only logged.
 	void setEndpoints(const std::vector<Endpoint>& _endpoints, std::uint64_t _position);
-	/// Call after setPlan and setEndpoints, of which it tells how current they are.
-	void setKnowledge(const FeedFreshness& _knowledge);
+	/// Sets how current routes and endpoints are. Called after setPlan() and setEndpoints().
+	void setFreshness(const FeedFreshness& _freshness);
 	void setMembers(const std::vector<std::string>& _members);
 	void setRetryBounds(double _share, double _burst);
 	void receive(const std::string& _from, const PieceMessage& _message);
 	void peerClosed(const std::string& _peer);
-	/// A planned stop has begun.
-	/// @param[in] _refuseFrom Time point from which on requests are refused that may not be finished by its end.
+	/// Prepares for a planned stop.
+	/// @param[in] _refuseFrom Time point from which requests are refused that may not finish before the stop.
 	/// @param[in] _end Time point at which the process ends.
 	void stopAt(Micros _refuseFrom, Micros _end);
 
-	/// Refuses what was not sent to an endpoint of its own yet, at the end of a planned stop.
+	/// Refuses requests that have not been sent to an endpoint yet; called near the end of a planned stop.
 	void refuseUnsent();
 	[[nodiscard]] std::size_t inFlight() const;
-	/// On thread 0.
+	/// Called on thread 0.
 	[[nodiscard]] std::string metricsText() const;
 
-	/// On thread 0.
-	/// @returns Whether what is known here of routes and endpoints is recent enough to decide about requests.
+	/// Called on thread 0.
+	/// @returns Whether the routes and endpoints are recent enough to handle requests.
 	[[nodiscard]] bool mayHandleNow() const;
 
 private:
-	struct Active;
-	using ActivePointer = std::shared_ptr<Active>;
-
-	void begin(const ActivePointer& _active);
-	ActivePointer find(std::uint64_t _id);
-	void orderPieces(const ActivePointer& _active);
-	[[nodiscard]] PieceOrder orderOf(const Active& _active, const PieceIndex& _piece) const;
-	[[nodiscard]] std::int64_t bytesOnward(const Active& _active, std::size_t _stage) const;
-	[[nodiscard]] std::string domainFor(const Active& _active, std::size_t _stage) const;
-	void pieceStarted(const PieceStarted& _started);
-	void pieceMade(const PieceCompleted& _made);
-	void pieceFailed(const PieceFailed& _failed);
-	void remake(const ActivePointer& _active);
-	void measureFirstEvent(const Active& _active);
+	struct ActiveRequest;
+	using ActiveRequestPtr = std::shared_ptr<ActiveRequest>;
+
+	void beginRequest(const ActiveRequestPtr& _active);
+	ActiveRequestPtr findActive(std::uint64_t _id);
+	void orderPieces(const ActiveRequestPtr& _active);
+	[[nodiscard]] PieceOrder makeOrder(const ActiveRequest& _active, const PieceIndex& _piece) const;
+	[[nodiscard]] std::int64_t downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const;
+	[[nodiscard]] std::string preferredDomain(const ActiveRequest& _active, std::size_t _stage) const;
+	void onPieceStarted(const PieceStarted& _started);
+	void onPieceCompleted(const PieceCompleted& _completed);
+	void onPieceFailed(const PieceFailed& _failed);
+	void rerunStages(const ActiveRequestPtr& _active);
+	void recordFirstEventTime(const ActiveRequest& _active);
 	[[nodiscard]] Micros firstEventTime(const std::string& _pool) const;
-	[[nodiscard]] AdmissionTerms termsOf(const Active& _active) const;
-	[[nodiscard]] static Micros comeBackAfter(const Active& _active);
-	void freeInputs(const ActivePointer& _active);
-	void submit(const ActivePointer& _active);
-	[[nodiscard]] std::string domainOfResults(const Active& _active) const;
+	[[nodiscard]] AdmissionTerms makeAdmissionTerms(const ActiveRequest& _active) const;
+	[[nodiscard]] static Micros jitteredRetryAfter(const ActiveRequest& _active);
+	void freeInputs(const ActiveRequestPtr& _active);
+	void submit(const ActiveRequestPtr& _active);
+	[[nodiscard]] std::string resultsDomain(const ActiveRequest& _active) const;
 	void perform(const Actions& _actions);
 	void startAttempt(const StartAttempt& _attempt);
-	void attemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const CallEnd& _end);
+	void attemptEnded(const ActiveRequestPtr& _active, std::uint64_t _attempt, const CallEnd& _end);
 	void cancelAttempt(const CancelAttempt& _cancel);
-	void finish(const ActivePointer& _active, const Outcome& _outcome);
-	void giveUp(const ActivePointer& _active, Reason _reason, Micros _retryAfter);
-	void release(const ActivePointer& _active, const Outcome& _outcome, const std::string& _how);
-	void gone(std::uint64_t _id);
+	void finish(const ActiveRequestPtr& _active, const Outcome& _outcome);
+	void giveUp(const ActiveRequestPtr& _active, Reason _reason, Micros _retryAfter);
+	void endRequest(const ActiveRequestPtr& _active, const Outcome& _outcome, const std::string& _event);
+	void onClientGone(std::uint64_t _id);
 	void refuse(const std::string& _id, const std::string& _target, const std::shared_ptr<HttpReply>& _reply,
 				unsigned _status, const std::string& _code, const std::string& _message);
-	[[nodiscard]] LogField routesAge(Micros _now) const;
-	[[nodiscard]] LogField listingAge(Micros _now) const;
-	void noteLateness(Micros _now);
+	[[nodiscard]] LogField routesAgeField(Micros _now) const;
+	[[nodiscard]] LogField listingAgeField(Micros _now) const;
+	void logLateTick(Micros _now);
 	void tick();
 
 	IoPool& pool;
 	HttpClient& client;
-	const Wire& wire;
+	const WireFormat& wire;
 	Metrics& metrics;
 	Dispatcher dispatcher;
-	Micros lease; ///< How old routes and endpoints may be that decide about a request.
+	Micros lease; ///< Maximum age of routes and endpoints that are used to handle a request.
 	PieceRunner pieces;
 	std::shared_ptr<const RoutePlan> plan;
-	std::unordered_map<std::uint64_t, ActivePointer> actives;
-	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceIndex>>
-		pieceOrders;                                      ///< Request and piece, by order.
-	std::set<std::pair<Micros, std::uint64_t>> deadlines; ///< Of requests whose pieces are being made.
+	std::unordered_map<std::uint64_t, ActiveRequestPtr> activeRequests;
+	/// Request and piece, by order id.
+	std::unordered_map<std::uint64_t, std::pair<std::uint64_t, PieceIndex>> pieceOrders;
+	/// Requests whose stages run, by the time point at which they are refused.
+	std::set<std::pair<Micros, std::uint64_t>> deadlines;
 	std::map<std::string, double> firstEventTimes; ///< Microseconds from sending to a stream's first event, by pool.
-	std::size_t nodes = 1;                         ///< Live nodes, this one among them.
-	Micros refuseFrom = 0;                         ///< Of a planned stop, 0 for none.
-	Micros stopEnd = 0;
-	std::uint64_t listing = 0; ///< Position of the listing in use.
-	FeedFreshness knowledge;   ///< How current routes and endpoints are.
-	Micros tickedAt = 0;
+	std::size_t liveNodes = 1;                     ///< Number of live nodes, including this one.
+	Micros refuseFrom = 0;                         ///< Time point, 0 unless a planned stop has begun.
+	Micros stopEndsAt = 0;                         ///< Time point at which the process ends.
+	std::uint64_t listingPosition = 0;             ///< Position of the endpoint listing in use.
+	FeedFreshness freshness;                       ///< How current the routes and endpoints are.
+	Micros lastTickAt = 0;                         ///< Time point, 0 before the first tick.
 	std::uint64_t lastRequest = 0;
 	std::uint64_t lastOrder = 0;
 	std::atomic<std::size_t> activeCount{0};
--- a/src/piece_runner.cpp
+++ b/src/piece_runner.cpp
@@ -80,7 +80,8 @@
 
 } // namespace
 
-PieceRunner::PieceRunner(HttpClient& _client, const Wire& _wire, PieceScheduler _scheduler, PieceHandlers _handlers)
+PieceRunner::PieceRunner(HttpClient& _client, const WireFormat& _wire, PieceScheduler _scheduler,
+						 PieceHandlers _handlers)
 	: client(_client), wire(_wire), scheduler(std::move(_scheduler)), handlers(std::move(_handlers))
 {
 }
@@ -121,7 +122,7 @@
 /// Queues a request to the endpoint that keeps a result to drop it.
 void PieceRunner::queueFree(const std::string& _handle)
 {
-	const std::string address = this->wire.keeperOf(_handle);
+	const std::string address = this->wire.resultAddress(_handle);
 	if (!address.empty())
 	{
 		this->pendingFrees[address].push_back(_handle);
@@ -173,7 +174,7 @@
 	logBatch(_batch, this->listingPosition, now);
 	CallSpec spec;
 	spec.address = _batch.endpoint.address;
-	spec.request = this->wire.batchRequest(_batch, now);
+	spec.request = this->wire.makeBatchRequest(_batch, now);
 	// The scheduler cancels the call earlier; this is a fallback.
 	spec.timeout = _batch.deadline - now + kConnectTimeout;
 	spec.connectTimeout = kConnectTimeout;
@@ -183,7 +184,7 @@
 				   pool = _batch.pool, now](const CallEnd& _end)
 	{
 		this->calls.erase(batch);
-		const BatchEnd end = this->wire.readBatch(_end, size);
+		const BatchEnd end = this->wire.parseBatchResponse(_end, size);
 		logEvent("pieces", "batch_ended",
 				 {{"batch", batch},
 				  {"pool", pool},
@@ -218,7 +219,7 @@
 	{
 		CallSpec spec;
 		spec.address = entry.first;
-		spec.request = this->wire.freeRequest(entry.second);
+		spec.request = this->wire.makeFreeRequest(entry.second);
 		spec.timeout = kFreeTimeout;
 		spec.connectTimeout = kConnectTimeout;
 		// The answer is ignored: results that are not freed expire.
