--- a/src/operator_api.h
+++ b/src/operator_api.h
@@ -18,22 +18,25 @@
 namespace roadferry
 {
 
-/// Serves what the command line roadferry asks for. Requests are handled on the control thread.
+/// Serves the requests of the command-line tool roadferry, and /metrics. Operators' requests are handled on the control
+/// thread.
 class OperatorApi
 {
 public:
-	/// @param[in] _thread Object that lives on the control thread.
+	/// @param[in] _controlThread Object that lives on the control thread.
+	/// @param[in] _drain Called on the control thread when an operator drains the node.
 	OperatorApi(const Settings& _settings, Control& _control, ClusterView& _view, Traffic& _traffic, Metrics& _metrics,
-				QObject& _thread, std::function<void()> _drain);
+				QObject& _controlThread, std::function<void()> _drain);
 
-	/// @returns Whether the request was for this interface.
+	/// @returns Whether the request belongs to this interface.
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 private:
 	void serve(const HttpRequest& _request, const std::string& _operator, const std::shared_ptr<HttpReply>& _reply);
-	void edit(const HttpRequest& _request, const std::string& _operator, const std::shared_ptr<HttpReply>& _reply);
-	void editOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const;
-	void explain(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply);
+	void submitEdit(const HttpRequest& _request, const std::string& _operator,
+					const std::shared_ptr<HttpReply>& _reply);
+	void sendEditOutcome(const std::string& _id, const std::shared_ptr<HttpReply>& _reply) const;
+	void sendTrace(const std::string& _ticket, const std::shared_ptr<HttpReply>& _reply);
 	[[nodiscard]] QJsonObject history() const;
 	[[nodiscard]] QJsonObject status() const;
 	[[nodiscard]] QJsonObject endpoints() const;
@@ -43,7 +46,7 @@
 	ClusterView& view;
 	Traffic& traffic;
 	Metrics& metrics;
-	QObject& thread;
+	QObject& controlThread;
 	std::function<void()> drain;
 };
 
--- a/tests/listing_log.h
+++ b/tests/listing_log.h
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// A platform's log of endpoints' entries, for tests: entries get positions, and readings are made from any position.
+/// A model of a platform's log of endpoint entries, for tests: each change gets a position, and reads start at any
+/// position.
 
 #ifndef ROADFERRY_LISTING_LOG_H_HEADER_GUARD
 #define ROADFERRY_LISTING_LOG_H_HEADER_GUARD
@@ -14,10 +15,11 @@
 namespace roadferry
 {
 
-/// The log.
+/// Log of entries that list and unlist endpoints.
 class ListingLog
 {
 public:
+	/// Lists an endpoint.
 	/// @returns Position of the new entry.
 	std::uint64_t put(const std::string& _name, const Endpoint& _endpoint, std::int64_t _startedAt = 0)
 	{
@@ -26,8 +28,9 @@
 		return position;
 	}
 
-	/// Another writer leaves something that names no endpoint.
-	std::uint64_t spoil(const std::string& _name)
+	/// Appends an entry that describes no endpoint, as another writer could.
+	/// @returns Position of the new entry.
+	std::uint64_t putUnusable(const std::string& _name)
 	{
 		const std::uint64_t position = this->end();
 		this->changes.emplace_back(UnusableEntry{_name, position});
@@ -52,32 +55,32 @@
 	}
 
 	/// @returns All changes from a position on.
-	[[nodiscard]] ListingRead since(std::uint64_t _position, Micros _begunAt) const
+	[[nodiscard]] ListingRead since(std::uint64_t _position, Micros _asOf) const
 	{
-		ListingRead read{this->end(), false, _begunAt, {}};
+		ListingRead read{this->end(), false, _asOf, {}};
 		read.changes.assign(this->changes.begin() + static_cast<std::ptrdiff_t>(_position), this->changes.end());
 		return read;
 	}
 
-	/// @returns The newest entry of each name that is there.
-	[[nodiscard]] ListingRead whole(Micros _begunAt) const
+	/// @returns The newest entry of each listed name.
+	[[nodiscard]] ListingRead snapshot(Micros _asOf) const
 	{
-		ListingRead read{this->end(), true, _begunAt, {}};
-		for (const auto& entry : this->present())
+		ListingRead read{this->end(), true, _asOf, {}};
+		for (const auto& entry : this->entries())
 		{
 			read.changes.emplace_back(entry.second);
 		}
 		return read;
 	}
 
-	/// @returns The newest entry of each name that is there, by name.
-	[[nodiscard]] std::map<std::string, ListedEndpoint> present() const
+	/// @returns The newest entry of each listed name, by name.
+	[[nodiscard]] std::map<std::string, ListedEndpoint> entries() const
 	{
-		return this->present(this->end());
+		return this->entries(this->end());
 	}
 
-	/// @returns The newest entry of each name that was there when the log ended at a position.
-	[[nodiscard]] std::map<std::string, ListedEndpoint> present(std::uint64_t _position) const
+	/// @returns The newest entry of each name that was listed when the log ended at a position.
+	[[nodiscard]] std::map<std::string, ListedEndpoint> entries(std::uint64_t _position) const
 	{
 		std::map<std::string, ListedEndpoint> entries;
 		for (std::size_t index = 0; index < _position; ++index)
--- a/tools/roadferry.cpp
+++ b/tools/roadferry.cpp
@@ -184,7 +184,7 @@
 		return object.ok() ? editFromJson(*object) : object.status();
 	}
 	const auto rows = rowsFromCsv(text.str());
-	return rows.ok() ? absl::StatusOr<TableEdit>(editTowards(_table, *rows, id)) : rows.status();
+	return rows.ok() ? absl::StatusOr<TableEdit>(makeEdit(_table, *rows, id)) : rows.status();
 }
 
 /// Prints the fields that a change of a row modifies.
