--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -142,7 +142,8 @@
 	{
 		return false;
 	}
-	const std::string workspace = nameOfBearer(this->settings.callers, headerValue(_request.headers, "Authorization"));
+	const std::string workspace =
+		authenticateBearer(this->settings.callers, headerValue(_request.headers, "Authorization"));
 	if (workspace.empty())
 	{
 		_reply->send(
@@ -198,7 +199,7 @@
 		}
 		submission->ticket = *issued;
 		// Nobody can ask for the outcome of a request without a ticket, so that it ends with its caller.
-		_reply->onGone([&traffic = this->traffic, ticket = *issued] { traffic.callerGone(ticket); });
+		_reply->onDisconnect([&traffic = this->traffic, ticket = *issued] { traffic.callerGone(ticket); });
 	}
 	auto sink = sinkFor(submission->stream, _reply);
 	const auto issuer = this->traffic.submit(_reply->thread(), *submission, sink);
@@ -235,7 +236,7 @@
 		return;
 	}
 	RelayRequest request;
-	request.kind = cancels ? RelayKind::Cancel : RelayKind::Look;
+	request.kind = cancels ? RelayKind::Cancel : RelayKind::Query;
 	request.ticket = _ticket;
 	request.workspace = _workspace;
 	this->relay.pass(_reply->thread(), *issuer, std::move(request), kAskTimeout, std::move(sink));
--- a/src/cbor_reader.h
+++ b/src/cbor_reader.h
@@ -25,17 +25,17 @@
 namespace roadferry
 {
 
-inline QString text(const std::string& _text)
+inline QString toQString(const std::string& _text)
 {
 	return QString::fromStdString(_text);
 }
 
-inline QCborArray textArray(const std::vector<std::string>& _texts)
+inline QCborArray toCborArray(const std::vector<std::string>& _texts)
 {
 	QCborArray array;
 	for (const std::string& entry : _texts)
 	{
-		array.append(text(entry));
+		array.append(toQString(entry));
 	}
 	return array;
 }
@@ -53,7 +53,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isString())
 		{
-			this->fault(_name, "a text");
+			this->setError(_name, "a text");
 		}
 		return value.toString().toStdString();
 	}
@@ -64,7 +64,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isByteArray())
 		{
-			this->fault(_name, "bytes");
+			this->setError(_name, "bytes");
 		}
 		return value.toByteArray().toStdString();
 	}
@@ -74,7 +74,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isInteger())
 		{
-			this->fault(_name, "a whole number");
+			this->setError(_name, "a whole number");
 		}
 		return value.toInteger();
 	}
@@ -84,7 +84,7 @@
 		return this->map.value(QLatin1String(_name));
 	}
 
-	std::uint64_t natural(const char* _name)
+	std::uint64_t unsignedInteger(const char* _name)
 	{
 		return static_cast<std::uint64_t>(this->integer(_name));
 	}
@@ -94,7 +94,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->fault(_name, "a list of texts");
+			this->setError(_name, "a list of texts");
 		}
 		std::vector<std::string> result;
 		const QCborArray array = value.toArray();
@@ -105,12 +105,12 @@
 		return result;
 	}
 
-	std::vector<std::uint64_t> naturals(const char* _name)
+	std::vector<std::uint64_t> unsignedIntegers(const char* _name)
 	{
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->fault(_name, "a list of whole numbers");
+			this->setError(_name, "a list of whole numbers");
 		}
 		std::vector<std::uint64_t> result;
 		const QCborArray array = value.toArray();
@@ -126,7 +126,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isBool())
 		{
-			this->fault(_name, "true or false");
+			this->setError(_name, "true or false");
 		}
 		return value.toBool();
 	}
@@ -138,7 +138,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->fault(_name, "a list of lists");
+			this->setError(_name, "a list of lists");
 		}
 		const QCborArray outer = value.toArray();
 		for (const QCborValue element : outer)
@@ -146,7 +146,7 @@
 			const QCborArray inner = element.toArray();
 			if (inner.size() != _length)
 			{
-				this->fault(_name, "a list of lists of the right length");
+				this->setError(_name, "a list of lists of the right length");
 				return {};
 			}
 			result.push_back(inner);
@@ -154,13 +154,13 @@
 		return result;
 	}
 
-	std::map<std::string, std::int64_t> numbers(const char* _name)
+	std::map<std::string, std::int64_t> integerMap(const char* _name)
 	{
 		std::map<std::string, std::int64_t> result;
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isMap())
 		{
-			this->fault(_name, "a map of whole numbers");
+			this->setError(_name, "a map of whole numbers");
 		}
 		const QCborMap inner = value.toMap();
 		for (const auto entry : inner)
@@ -171,22 +171,23 @@
 	}
 
 	/// A number that stands for one of an enumeration's values.
-	std::int64_t below(const QCborValue& _value, std::int64_t _limit, const char* _name)
+	std::int64_t enumValue(const QCborValue& _value, std::int64_t _count, const char* _name)
 	{
 		const std::int64_t number = _value.toInteger(-1);
-		if (number < 0 || number >= _limit)
+		if (number < 0 || number >= _count)
 		{
-			this->fault(_name, "a known value");
+			this->setError(_name, "a known value");
 			return 0;
 		}
 		return number;
 	}
 
-	void fault(const char* _name, const char* _limit)
+	void setError(const char* _name, const char* _requirement)
 	{
 		if (this->status.ok())
 		{
-			this->status = absl::InvalidArgumentError(absl::StrCat("peer message: ", _name, ": must be ", _limit));
+			this->status =
+				absl::InvalidArgumentError(absl::StrCat("peer message: ", _name, ": must be ", _requirement));
 		}
 	}
 
--- a/src/control.cpp
+++ b/src/control.cpp
@@ -97,19 +97,19 @@
 	}
 	// One peer at a time, each in its turn.
 	const std::string& peer = this->peerList[this->askTurn++ % this->peerList.size()];
-	this->send(peer, TableAsk{this->fold.table().snapshot().offset});
+	this->send(peer, TableRequest{this->fold.table().snapshot().offset});
 }
 
-void Control::onTableAsk(const std::string& _peer, const TableAsk& _ask)
+void Control::onTableAsk(const std::string& _peer, const TableRequest& _ask)
 {
 	const TableSnapshot& snapshot = this->fold.table().snapshot();
 	if (snapshot.offset >= _ask.offset && snapshot.offset > 0)
 	{
-		this->send(_peer, TableGive{toText(toJson(snapshot))});
+		this->send(_peer, TableResponse{toText(toJson(snapshot))});
 	}
 }
 
-void Control::onTableGive(const TableGive& _give)
+void Control::onTableGive(const TableResponse& _give)
 {
 	const auto object = parseObject(_give.snapshot);
 	const auto snapshot = object.ok() ? snapshotFromJson(*object) : object.status();
@@ -283,11 +283,11 @@
 	}
 	for (const std::string& peer : this->peerList)
 	{
-		this->send(peer, LeavingWord{{_endpoint}});
+		this->send(peer, LeavingNotice{{_endpoint}});
 	}
 }
 
-void Control::onLeavingWord(const LeavingWord& _word)
+void Control::onLeavingWord(const LeavingNotice& _word)
 {
 	for (const std::string& endpoint : _word.endpoints)
 	{
--- a/src/control.h
+++ b/src/control.h
@@ -40,9 +40,9 @@
 	void edit(const TableEdit& _edit, const EditAnswer& _answer);
 
 	/// Takes a message of another node.
-	void onTableAsk(const std::string& _peer, const TableAsk& _ask);
-	void onTableGive(const TableGive& _give);
-	void onLeavingWord(const LeavingWord& _word);
+	void onTableAsk(const std::string& _peer, const TableRequest& _ask);
+	void onTableGive(const TableResponse& _give);
+	void onLeavingWord(const LeavingNotice& _word);
 
 	[[nodiscard]] const LogFold& log() const;
 	[[nodiscard]] const std::vector<std::string>& peers() const;
--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -55,7 +55,7 @@
 		return HeadVerdict::Skip;
 	}
 	this->current = std::move(head);
-	return HeadVerdict::Take;
+	return HeadVerdict::Accept;
 }
 
 bool ForwardAnswer::isGood() const
@@ -114,7 +114,7 @@
 	{
 		return AttemptNotSent{};
 	}
-	if (_end.result == CallResult::Cut || !this->current)
+	if (_end.result == CallResult::Interrupted || !this->current)
 	{
 		return AttemptInterrupted{};
 	}
--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -281,22 +281,22 @@
 	}
 	this->askAt = _now + kAskEvery;
 	this->askTurn += 1;
-	RoutesAsk ask;
+	RoutesRequest ask;
 	ask.version = this->exchange.routes().version;
-	ask.endpoints = !this->exchange.ready();
+	ask.needsEndpoints = !this->exchange.ready();
 	this->send(peers[this->askTurn % peers.size()], ask);
 }
 
-void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask)
+void ForwardControl::onRoutesAsk(const std::string& _peer, const RoutesRequest& _ask)
 {
 	const EncodedRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
-	RoutesGive give;
+	RoutesResponse give;
 	if (routes.version > _ask.version)
 	{
 		give.record = routes.record;
 	}
-	if (_ask.endpoints)
+	if (_ask.needsEndpoints)
 	{
 		give.endpoints = directory.changesSince(0).listed;
 	}
@@ -323,7 +323,7 @@
 	}
 }
 
-void ForwardControl::onRoutesGive(const std::string& _peer, const RoutesGive& _give)
+void ForwardControl::onRoutesGive(const std::string& _peer, const RoutesResponse& _give)
 {
 	if (!_give.record.empty())
 	{
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -41,8 +41,8 @@
 
 	/// Takes a message of another node.
 	void onGossip(const std::string& _peer, const Gossip& _message);
-	void onRoutesAsk(const std::string& _peer, const RoutesAsk& _ask);
-	void onRoutesGive(const std::string& _peer, const RoutesGive& _give);
+	void onRoutesAsk(const std::string& _peer, const RoutesRequest& _ask);
+	void onRoutesGive(const std::string& _peer, const RoutesResponse& _give);
 	void onFeedAsk(const std::string& _peer, const FeedRequest& _ask);
 	void onFeedNews(const std::string& _peer, const FeedResponse& _news);
 
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -194,9 +194,9 @@
 	std::visit(
 		Overloaded{
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->control->onGossip(_peer, _typed); }); },
-			[&](const RoutesAsk& _typed)
+			[&](const RoutesRequest& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onRoutesAsk(_peer, _typed); }); },
-			[&](const RoutesGive& _typed)
+			[&](const RoutesResponse& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onRoutesGive(_peer, _typed); }); },
 			[&](const FeedRequest& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onFeedAsk(_peer, _typed); }); },
@@ -240,14 +240,14 @@
 /// Says so when messages to other nodes pile up or vanish, at most once a second.
 void ForwardNode::logQueues()
 {
-	const std::uint64_t queued = this->link->takeMostQueued();
-	const std::uint64_t bytes = this->link->bytes();
+	const std::uint64_t queued = this->link->takeMaxQueuedBytes();
+	const std::uint64_t bytes = this->link->transferredBytes();
 	if (queued >= kQueuedWorthALine)
 	{
 		logEvent("peer", "queued", {{"bytes_for_one_node", queued}, {"bytes_in_and_out", bytes - this->bytesLogged}});
 	}
 	this->bytesLogged = bytes;
-	const std::uint64_t silent = this->link->silentConnections();
+	const std::uint64_t silent = this->link->silentConnectionsClosed();
 	if (silent > this->silentLogged)
 	{
 		logEvent("peer", "silent_connections_closed", {{"connections", silent - this->silentLogged}});
@@ -278,7 +278,7 @@
 		return;
 	}
 	// Requests that still come over open connections are served; each connection closes after its answer.
-	this->server->closeAfterAnswers();
+	this->server->closeAfterResponses();
 	if (waited >= this->settings.drainSeconds * kSecond - kRefuseMargin && !std::exchange(this->refusedUnsent, true))
 	{
 		this->traffic->refuseUnsent();
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -290,7 +290,7 @@
 	{
 		_active->homeDomain = this->dispatcher.homeDomain(_active->pool, _active->prefix, _active->arrived);
 	}
-	_active->answer.reply()->onGone([this, id = _active->id] { this->gone(id); });
+	_active->answer.reply()->onDisconnect([this, id = _active->id] { this->gone(id); });
 	if (this->find(_active->id) == nullptr)
 	{
 		return; // The client had left already.
@@ -368,10 +368,10 @@
 {
 	if (_pool == nullptr || _pool->maxConnections <= 0)
 	{
-		return CallSpec{}.keepAtMost;
+		return CallSpec{}.maxIdleConnections;
 	}
 	const double share = kIdleShare * static_cast<double>(_pool->maxConnections) / static_cast<double>(_nodes);
-	return std::min(CallSpec{}.keepAtMost, static_cast<std::size_t>(share));
+	return std::min(CallSpec{}.maxIdleConnections, static_cast<std::size_t>(share));
 }
 
 void ForwardTraffic::startAttempt(const StartAttempt& _attempt)
@@ -392,9 +392,9 @@
 	spec.request = this->wire.endpointRequest(active->request, attempt);
 	spec.timeout = active->giveUpAt - now + kCallSlack;
 	spec.connectTimeout = kConnectTimeout;
-	spec.fresh = _attempt.atMostOnce;
-	spec.noticeSilence = active->route.repeatable;
-	spec.keepAtMost = idleConnectionsOf(active->plan->pool(active->pool), this->nodes);
+	spec.forceNewConnection = _attempt.atMostOnce;
+	spec.detectDeadConnection = active->route.repeatable;
+	spec.maxIdleConnections = idleConnectionsOf(active->plan->pool(active->pool), this->nodes);
 	CallHandlers handlers;
 	handlers.onHead = [active](unsigned _status, const HttpHeaders& _headers)
 	{ return active->answer.takeHead(_status, _headers); };
--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -47,38 +47,40 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kOwnPause{100}; ///< A timer that is later than this did not run in time.
-constexpr int kPausesMost = 3;                      ///< That one call outlasts.
-constexpr int kProbeSeconds = 1;                    ///< Without a byte, and between two probes.
-constexpr int kProbes = 2;                          ///< Without an answer.
-constexpr int kUnacknowledgedMs = 2'500;            ///< That bytes may wait for the other machine.
-constexpr int kSkippedMost = 4;               ///< Responses to other requests that are read past on one connection.
-constexpr std::chrono::seconds kIdleLife{30}; ///< For servers that do not say how long they keep connections.
-constexpr std::chrono::milliseconds kIdleMargin{300}; ///< Before the server's own limit, so that closes rarely cross.
+constexpr std::chrono::milliseconds kLateTimerThreshold{100}; ///< A timer that is later than this did not run in time.
+constexpr int kMaxLateTimeouts = 3;                           ///< That one call outlasts.
+constexpr int kKeepaliveSeconds = 1;                          ///< Without a byte, and between two probes.
+constexpr int kKeepaliveProbes = 2;                           ///< Without an answer.
+constexpr int kUserTimeoutMs = 2'500;                         ///< That bytes may wait for the other machine.
+constexpr int kMaxSkippedResponses = 4; ///< Responses to other requests that are read past on one connection.
+constexpr std::chrono::seconds kDefaultIdleLifetime{
+	30}; ///< For servers that do not say how long they keep connections.
+constexpr std::chrono::milliseconds kIdleExpiryMargin{
+	300}; ///< Before the server's own limit, so that closes rarely cross.
 
 /// A connection that is kept for the next call.
-struct KeptSocket
+struct IdleSocket
 {
 	std::unique_ptr<Tcp::socket> socket;
-	Clock::time_point until;
+	Clock::time_point expiresAt;
 };
 
-using Idle = std::unordered_map<std::string, std::vector<KeptSocket>>;
+using IdleSockets = std::unordered_map<std::string, std::vector<IdleSocket>>;
 
 /// @returns How long a server keeps an idle connection, as it said in Keep-Alive (RFC 2068, 19.7.1.1).
-Clock::duration idleLife(const std::string& _keepAlive)
+Clock::duration idleLifetime(const std::string& _keepAlive)
 {
 	const std::size_t at = _keepAlive.find("timeout=");
 	if (at == std::string::npos)
 	{
-		return kIdleLife;
+		return kDefaultIdleLifetime;
 	}
 	const long seconds = std::strtol(_keepAlive.c_str() + at + std::strlen("timeout="), nullptr, 10);
-	return std::max<Clock::duration>(Clock::duration::zero(), std::chrono::seconds(seconds) - kIdleMargin);
+	return std::max<Clock::duration>(Clock::duration::zero(), std::chrono::seconds(seconds) - kIdleExpiryMargin);
 }
 
 /// @returns Whether a kept connection is still open and silent.
-bool isQuiet(Tcp::socket& _socket)
+bool isReusable(Tcp::socket& _socket)
 {
 	char byte = 0;
 	Error error;
@@ -87,14 +89,14 @@
 	return error == asio::error::would_block;
 }
 
-std::unique_ptr<Tcp::socket> takeIdle(Idle& _idle, const std::string& _address)
+std::unique_ptr<Tcp::socket> takeIdle(IdleSockets& _idle, const std::string& _address)
 {
 	auto& sockets = _idle[_address];
 	while (!sockets.empty())
 	{
-		KeptSocket kept = std::move(sockets.back());
+		IdleSocket kept = std::move(sockets.back());
 		sockets.pop_back();
-		if (Clock::now() < kept.until && isQuiet(*kept.socket))
+		if (Clock::now() < kept.expiresAt && isReusable(*kept.socket))
 		{
 			return std::move(kept.socket);
 		}
@@ -121,22 +123,22 @@
 }
 
 /// Probes of the kernel's find out that nobody is at the other end, whether or not anything is under way.
-void setProbes(Tcp::socket& _socket, bool _on)
+void setKeepalive(Tcp::socket& _socket, bool _on)
 {
 	const int socket = _socket.native_handle();
 	const auto set = [socket](int _level, int _option, int _value)
 	{ ::setsockopt(socket, _level, _option, &_value, sizeof(_value)); };
 	set(SOL_SOCKET, SO_KEEPALIVE, _on ? 1 : 0);
-	set(IPPROTO_TCP, TCP_KEEPIDLE, kProbeSeconds);
-	set(IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds);
-	set(IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-	set(IPPROTO_TCP, TCP_USER_TIMEOUT, _on ? kUnacknowledgedMs : 0);
+	set(IPPROTO_TCP, TCP_KEEPIDLE, kKeepaliveSeconds);
+	set(IPPROTO_TCP, TCP_KEEPINTVL, kKeepaliveSeconds);
+	set(IPPROTO_TCP, TCP_KEEPCNT, kKeepaliveProbes);
+	set(IPPROTO_TCP, TCP_USER_TIMEOUT, _on ? kUserTimeoutMs : 0);
 }
 
 class Call final : public HttpCall, public std::enable_shared_from_this<Call>
 {
 public:
-	Call(asio::io_context& _context, Idle& _idle, CallSpec _spec, CallHandlers _handlers)
+	Call(asio::io_context& _context, IdleSockets& _idle, CallSpec _spec, CallHandlers _handlers)
 		: context(_context), idle(_idle), spec(std::move(_spec)), handlers(std::move(_handlers)), timer(_context),
 		  connectTimer(_context)
 	{
@@ -146,7 +148,7 @@
 	{
 		this->prepare();
 		this->armTimer();
-		if (!this->spec.fresh)
+		if (!this->spec.forceNewConnection)
 		{
 			this->socket = takeIdle(this->idle, this->spec.address);
 		}
@@ -184,13 +186,13 @@
 		this->request.keep_alive(true);
 		this->request.body() = std::move(this->spec.request.body);
 		this->request.prepare_payload();
-		this->renewParser();
+		this->resetParser();
 	}
 
-	void renewParser()
+	void resetParser()
 	{
 		this->parser.emplace();
-		this->parser->body_limit(this->spec.responseLimit);
+		this->parser->body_limit(this->spec.maxResponseBytes);
 		// An eager parser asks for more bytes until the message ends, and would keep back what has come of a stream.
 		this->parser->eager(!this->handlers.onData);
 	}
@@ -203,23 +205,24 @@
 			{
 				if (!_error)
 				{
-					self->timedOut();
+					self->onTimeout();
 				}
 			});
 	}
 
 	/// Says what the limit ran out on: an answer that was on its way, or a process that did not run itself.
-	void timedOut()
+	void onTimeout()
 	{
-		const auto late = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - this->timer.expiry());
-		if (this->spec.timeoutOnSilence && late >= kOwnPause && this->pauses < kPausesMost && !this->done)
+		const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - this->timer.expiry());
+		if (this->spec.restartTimeoutOnData && delay >= kLateTimerThreshold && this->lateTimeouts < kMaxLateTimeouts &&
+			!this->done)
 		{
-			this->pauses += 1;
+			this->lateTimeouts += 1;
 			this->armTimer();
 			return;
 		}
-		this->fail("timed out after " + std::to_string(this->received) + " bytes, noticed " +
-				   std::to_string(late.count()) + " ms late");
+		this->fail("timed out after " + std::to_string(this->receivedBytes) + " bytes, noticed " +
+				   std::to_string(delay.count()) + " ms late");
 	}
 
 	void connect()
@@ -272,25 +275,25 @@
 	/// Writes the request and reads at the same time, since a server may answer before it has read a long body.
 	void write()
 	{
-		this->sent = true;
-		setProbes(*this->socket, this->spec.noticeSilence);
+		this->maybeSent = true;
+		setKeepalive(*this->socket, this->spec.detectDeadConnection);
 		http::async_write(*this->socket, this->request,
 						  [self = this->shared_from_this()](const Error& _error, std::size_t _bytes)
-						  { self->written(_error, _bytes); });
+						  { self->onWritten(_error, _bytes); });
 		this->read();
 	}
 
-	void written(const Error& _error, std::size_t _bytes)
+	void onWritten(const Error& _error, std::size_t _bytes)
 	{
 		this->writing = false;
 		if (this->done || !_error)
 		{
 			return;
 		}
-		this->broken = true;
+		this->writeFailed = true;
 		if (_bytes == 0 && !this->parser->got_some())
 		{
-			this->sent = false;
+			this->maybeSent = false;
 			this->fail(_error.message());
 		}
 		// Otherwise an answer may be on its way; reading says so.
@@ -301,8 +304,8 @@
 		http::async_read_some(*this->socket, this->buffer, *this->parser,
 							  [self = this->shared_from_this()](const Error& _error, std::size_t _bytes)
 							  {
-								  self->received += _bytes;
-								  if (_bytes > 0 && self->spec.timeoutOnSilence && !self->done)
+								  self->receivedBytes += _bytes;
+								  if (_bytes > 0 && self->spec.restartTimeoutOnData && !self->done)
 								  {
 									  self->armTimer();
 								  }
@@ -321,13 +324,13 @@
 			this->fail(_error.message());
 			return;
 		}
-		if (this->parser->is_header_done() && !this->headSeen)
+		if (this->parser->is_header_done() && !this->headHandled)
 		{
-			this->takeHead();
+			this->handleHead();
 		}
-		if (this->headSeen && !this->skipping && this->handlers.onData)
+		if (this->headHandled && !this->skipping && this->handlers.onData)
 		{
-			this->handOver();
+			this->deliverData();
 		}
 		if (this->done)
 		{
@@ -340,15 +343,15 @@
 		}
 		if (this->skipping)
 		{
-			this->nextResponse();
+			this->readNextResponse();
 			return;
 		}
 		this->complete();
 	}
 
-	void takeHead()
+	void handleHead()
 	{
-		this->headSeen = true;
+		this->headHandled = true;
 		if (!this->handlers.onHead)
 		{
 			return;
@@ -360,16 +363,16 @@
 	}
 
 	/// Goes on to the response behind one that belongs to another request.
-	void nextResponse()
+	void readNextResponse()
 	{
-		this->skipped += 1;
-		if (this->skipped > kSkippedMost || !this->parser->get().keep_alive())
+		this->skippedResponses += 1;
+		if (this->skippedResponses > kMaxSkippedResponses || !this->parser->get().keep_alive())
 		{
 			this->fail("no answer to this request on its connection");
 			return;
 		}
-		this->renewParser();
-		this->headSeen = false;
+		this->resetParser();
+		this->headHandled = false;
 		this->skipping = false;
 		this->read();
 	}
@@ -384,7 +387,7 @@
 		return result;
 	}
 
-	void handOver()
+	void deliverData()
 	{
 		std::string& body = this->parser->get().body();
 		if (body.empty())
@@ -404,13 +407,13 @@
 		end.headers = this->headers();
 		end.body = std::move(this->parser->get().body());
 		// A request that was not written whole leaves the connection in the middle of it.
-		const bool whole = !this->writing && !this->broken;
-		const bool keep = whole && this->parser->get().keep_alive() && this->buffer.size() == 0;
+		const bool requestWritten = !this->writing && !this->writeFailed;
+		const bool keep = requestWritten && this->parser->get().keep_alive() && this->buffer.size() == 0;
 		auto& sockets = this->idle[this->spec.address];
-		if (keep && sockets.size() < this->spec.keepAtMost)
+		if (keep && sockets.size() < this->spec.maxIdleConnections)
 		{
-			const auto life = idleLife(std::string(this->parser->get()[http::field::keep_alive]));
-			sockets.push_back(KeptSocket{std::move(this->socket), Clock::now() + life});
+			const auto lifetime = idleLifetime(std::string(this->parser->get()[http::field::keep_alive]));
+			sockets.push_back(IdleSocket{std::move(this->socket), Clock::now() + lifetime});
 		}
 		this->finish(end);
 	}
@@ -422,7 +425,7 @@
 			return;
 		}
 		CallEnd end;
-		end.result = this->sent ? CallResult::Cut : CallResult::NotSent;
+		end.result = this->maybeSent ? CallResult::Interrupted : CallResult::NotSent;
 		end.error = _error;
 		this->finish(end);
 	}
@@ -450,7 +453,7 @@
 	}
 
 	asio::io_context& context;
-	Idle& idle;
+	IdleSockets& idle;
 	CallSpec spec;
 	CallHandlers handlers;
 	asio::steady_timer timer;
@@ -459,14 +462,14 @@
 	http::request<http::string_body> request;
 	boost::optional<http::response_parser<http::string_body>> parser;
 	beast::flat_buffer buffer{kReadSize * 4};
-	int skipped = 0;
-	std::size_t received = 0; ///< Bytes of responses.
-	int pauses = 0;           ///< Of this process, in which a timeout ran out.
-	bool sent = false;        ///< Bytes of the request may have left.
-	bool writing = true;      ///< The request is not written whole yet.
-	bool broken = false;      ///< Writing failed.
-	bool headSeen = false;    ///< The head of the response that is being read was looked at.
-	bool skipping = false;    ///< The response that is being read belongs to another request.
+	int skippedResponses = 0;
+	std::size_t receivedBytes = 0; ///< Bytes of responses.
+	int lateTimeouts = 0;          ///< Of this process, in which a timeout ran out.
+	bool maybeSent = false;        ///< Bytes of the request may have left.
+	bool writing = true;           ///< The request is not written whole yet.
+	bool writeFailed = false;      ///< Writing failed.
+	bool headHandled = false;      ///< The head of the response that is being read was looked at.
+	bool skipping = false;         ///< The response that is being read belongs to another request.
 	bool done = false;
 };
 
@@ -479,7 +482,7 @@
 	}
 
 	IoPool& pool;
-	std::vector<Idle> idle; ///< Kept connections of each thread.
+	std::vector<IdleSockets> idle; ///< Kept connections of each thread.
 };
 
 HttpClient::HttpClient(IoPool& _pool) : impl(std::make_unique<Impl>(_pool))
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -22,9 +22,9 @@
 /// How a call ended.
 enum class CallResult
 {
-	Complete, ///< The whole response arrived.
-	NotSent,  ///< No byte of the request left.
-	Cut       ///< Bytes may have left, and the response did not arrive whole.
+	Complete,   ///< The whole response arrived.
+	NotSent,    ///< No byte of the request left.
+	Interrupted ///< Bytes may have left, and the response did not arrive whole.
 };
 
 /// End of a call.
@@ -40,8 +40,8 @@
 /// What to do with a response whose head has arrived.
 enum class HeadVerdict
 {
-	Take, ///< It answers this request.
-	Skip  ///< It answers another request, which used the connection before: read past it.
+	Accept, ///< It answers this request.
+	Skip    ///< It answers another request, which used the connection before: read past it.
 };
 
 /// One call to make.
@@ -53,13 +53,14 @@
 	std::int64_t connectTimeout = 0; ///< Microseconds for opening a connection, 0 for no limit of its own.
 	/// End the call within about 3 s when the other machine is gone or the connection has fallen silent. For calls that
 	/// may be made again: what is merely cut off for a while would still answer.
-	bool noticeSilence = false;
+	bool detectDeadConnection = false;
 	/// The timeout bounds how long nothing comes while this process runs: bytes that come begin it anew, and so does
 	/// its end when it is noticed late, since then the process itself did not run.
-	bool timeoutOnSilence = false;
-	bool fresh = false;          ///< Use a connection of its own, so that a kept one that has gone stale cannot cut it.
-	std::size_t keepAtMost = 64; ///< Idle connections to this address, this call's own included, that are kept.
-	std::size_t responseLimit = 64 * 1024 * 1024;
+	bool restartTimeoutOnData = false;
+	bool forceNewConnection =
+		false; ///< Use a connection of its own, so that a kept one that has gone stale cannot cut it.
+	std::size_t maxIdleConnections = 64; ///< Idle connections to this address, this call's own included, that are kept.
+	std::size_t maxResponseBytes = 64 * 1024 * 1024;
 };
 
 /// Called on the call's thread.
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -39,13 +39,13 @@
 using Error = boost::system::error_code;
 
 constexpr int kHttpVersion = 11;
-constexpr std::int64_t kLingerTime = 1'000'000; ///< Microseconds.
+constexpr std::int64_t kLingerTimeUs = 1'000'000; ///< Microseconds.
 constexpr std::size_t kDiscardSize = 64 * 1024;
-constexpr std::chrono::milliseconds kIdleTick{250};
-constexpr std::chrono::milliseconds kIdleWhileClosing{1'000};
+constexpr std::chrono::milliseconds kIdleCheckPeriod{250};
+constexpr std::chrono::milliseconds kIdleTimeoutWhileClosing{1'000};
 
 /// What all connections of a server share.
-struct Shared
+struct SharedState
 {
 	std::mutex lock; ///< Guards the limits.
 	HttpServerLimits limits;
@@ -53,7 +53,7 @@
 	std::atomic<std::size_t> connections{0};
 	std::atomic<bool> closing{false};
 
-	HttpServerLimits limitsNow()
+	HttpServerLimits currentLimits()
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
 		return this->limits;
@@ -73,7 +73,7 @@
 /// Framing that other servers may read in another way than this one: whoever sends it could hide a second request
 /// behind the first (RFC 9112, 11.2).
 template<class Message>
-bool hasDoubtfulFraming(const Message& _message)
+bool hasAmbiguousFraming(const Message& _message)
 {
 	if (_message.count(http::field::host) > 1 || _message.count(http::field::content_length) > 1)
 	{
@@ -100,8 +100,8 @@
 class Connection final : public HttpReply, public std::enable_shared_from_this<Connection<Stream>>
 {
 public:
-	Connection(Stream _stream, std::shared_ptr<Shared> _shared, std::size_t _thread)
-		: stream(std::move(_stream)), shared(std::move(_shared)), limits(shared->limitsNow()),
+	Connection(Stream _stream, std::shared_ptr<SharedState> _shared, std::size_t _thread)
+		: stream(std::move(_stream)), shared(std::move(_shared)), limits(shared->currentLimits()),
 		  timer(stream.get_executor()), threadIndex(_thread)
 	{
 		this->shared->connections += 1;
@@ -134,12 +134,13 @@
 
 	void send(HttpResponse _response) override
 	{
-		this->onThread([this, response = std::move(_response)]() mutable { this->sendNow(std::move(response)); });
+		this->runOnThread([this, response = std::move(_response)]() mutable
+						  { this->writeResponse(std::move(response)); });
 	}
 
 	void startStream(unsigned _status, HttpHeaders _headers) override
 	{
-		this->onThread(
+		this->runOnThread(
 			[this, _status, headers = std::move(_headers)]
 			{
 				http::response<http::empty_body> head(static_cast<http::status>(_status), kHttpVersion);
@@ -154,7 +155,7 @@
 
 	void write(std::string _data) override
 	{
-		this->onThread(
+		this->runOnThread(
 			[this, data = std::move(_data)]
 			{
 				if (!data.empty())
@@ -166,17 +167,17 @@
 
 	void endStream() override
 	{
-		this->onThread([this] { this->enqueue(beast::buffers_to_string(http::make_chunk_last()), true); });
+		this->runOnThread([this] { this->enqueue(beast::buffers_to_string(http::make_chunk_last()), true); });
 	}
 
 	void abort() override
 	{
-		this->onThread([this] { this->close(); });
+		this->runOnThread([this] { this->close(); });
 	}
 
-	void onGone(std::function<void()> _function) override
+	void onDisconnect(std::function<void()> _function) override
 	{
-		this->onThread(
+		this->runOnThread(
 			[this, function = std::move(_function)]() mutable
 			{
 				if (this->isClosed)
@@ -184,7 +185,7 @@
 					function();
 					return;
 				}
-				this->gone = std::move(function);
+				this->disconnectHandler = std::move(function);
 			});
 	}
 
@@ -195,7 +196,7 @@
 
 private:
 	template<class Function>
-	void onThread(Function _function)
+	void runOnThread(Function _function)
 	{
 		asio::dispatch(this->stream.get_executor(),
 					   [self = this->shared_from_this(), function = std::move(_function)]() mutable { function(); });
@@ -229,7 +230,7 @@
 	/// Waits for the first byte of a request, for as long as a kept connection may be silent.
 	void awaitRequest()
 	{
-		this->limits = this->shared->limitsNow();
+		this->limits = this->shared->currentLimits();
 		this->parser.emplace();
 		this->parser->header_limit(static_cast<std::uint32_t>(this->limits.headerBytes));
 		this->parser->body_limit(this->limits.bodyBytes);
@@ -239,7 +240,7 @@
 			return;
 		}
 		this->idleSince = std::chrono::steady_clock::now();
-		this->idleTick();
+		this->checkIdle();
 		this->stream.async_read_some(this->buffer.prepare(this->limits.headerBytes),
 									 [self = this->shared_from_this()](const Error& _error, std::size_t _bytes)
 									 {
@@ -255,9 +256,9 @@
 	}
 
 	/// Closes a kept connection that has been silent for too long, sooner during a planned stop.
-	void idleTick()
+	void checkIdle()
 	{
-		this->timer.expires_after(kIdleTick);
+		this->timer.expires_after(kIdleCheckPeriod);
 		this->timer.async_wait(
 			[self = this->shared_from_this()](const Error& _error)
 			{
@@ -265,10 +266,10 @@
 				{
 					return;
 				}
-				const auto limit = self->shared->closing ? kIdleWhileClosing : self->idleLimit();
+				const auto limit = self->shared->closing ? kIdleTimeoutWhileClosing : self->idleTimeout();
 				if (std::chrono::steady_clock::now() - self->idleSince < limit)
 				{
-					self->idleTick();
+					self->checkIdle();
 					return;
 				}
 				Error ignored;
@@ -276,7 +277,7 @@
 			});
 	}
 
-	[[nodiscard]] std::chrono::microseconds idleLimit() const
+	[[nodiscard]] std::chrono::microseconds idleTimeout() const
 	{
 		return std::chrono::microseconds(this->limits.idleTimeout);
 	}
@@ -290,7 +291,7 @@
 									self->timer.cancel();
 									if (_error)
 									{
-										self->refuse(_error);
+										self->rejectRequest(_error);
 										return;
 									}
 									self->readBody();
@@ -299,10 +300,10 @@
 
 	void readBody()
 	{
-		if (hasDoubtfulFraming(this->parser->get()))
+		if (hasAmbiguousFraming(this->parser->get()))
 		{
 			this->requestKeepAlive = false;
-			this->sendNow(errorResponse(400, "bad_request", "the request's framing is not clear"));
+			this->writeResponse(errorResponse(400, "bad_request", "the request's framing is not clear"));
 			return;
 		}
 		if (this->parser->is_done())
@@ -317,34 +318,35 @@
 							 self->timer.cancel();
 							 if (_error)
 							 {
-								 self->refuse(_error);
+								 self->rejectRequest(_error);
 								 return;
 							 }
 							 self->handle();
 						 });
 	}
 
-	void refuse(const Error& _error)
+	void rejectRequest(const Error& _error)
 	{
 		this->requestKeepAlive = false;
 		const std::string bodyLimit = std::to_string(this->limits.bodyBytes);
 		const std::string headerLimit = std::to_string(this->limits.headerBytes);
 		if (this->timedOut)
 		{
-			this->sendNow(errorResponse(408, "request_timeout", "the request was not sent whole in time"));
+			this->writeResponse(errorResponse(408, "request_timeout", "the request was not sent whole in time"));
 		}
 		else if (_error == http::error::body_limit)
 		{
-			this->sendNow(errorResponse(413, "body_too_large", "body: must be at most " + bodyLimit + " bytes"));
+			this->writeResponse(errorResponse(413, "body_too_large", "body: must be at most " + bodyLimit + " bytes"));
 		}
 		else if (_error == http::error::header_limit)
 		{
-			this->sendNow(errorResponse(431, "header_too_large", "header: must be at most " + headerLimit + " bytes"));
+			this->writeResponse(
+				errorResponse(431, "header_too_large", "header: must be at most " + headerLimit + " bytes"));
 		}
 		else if (_error.category() == http::make_error_code(http::error::bad_method).category() &&
 				 _error != http::error::end_of_stream && _error != http::error::partial_message)
 		{
-			this->sendNow(errorResponse(400, "bad_request", "the request is not valid HTTP"));
+			this->writeResponse(errorResponse(400, "bad_request", "the request is not valid HTTP"));
 		}
 		else
 		{
@@ -365,34 +367,35 @@
 		request.body = std::move(message.body());
 		this->requestKeepAlive = message.keep_alive();
 		this->answering = true;
-		this->watch();
+		this->watchForDisconnect();
 		this->shared->handler(std::move(request), this->shared_from_this());
 	}
 
 	/// Notices when the caller closes while its request is being worked on.
-	void watch()
-	{
-		this->socket().async_wait(Tcp::socket::wait_read,
-								  [weak = this->weak_from_this(), turn = this->turn](const Error& _error)
-								  {
-									  const auto self = weak.lock();
-									  if (_error || self == nullptr || !self->answering || self->turn != turn)
-									  {
-										  return;
-									  }
-									  char byte = 0;
-									  Error error;
-									  self->socket().non_blocking(true, error);
-									  const std::size_t bytes = self->socket().receive(
-										  asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-									  if (bytes == 0 && error != asio::error::would_block)
-									  {
-										  self->close();
-									  }
-								  });
-	}
-
-	void sendNow(HttpResponse _response)
+	void watchForDisconnect()
+	{
+		this->socket().async_wait(
+			Tcp::socket::wait_read,
+			[weak = this->weak_from_this(), requestNumber = this->requestNumber](const Error& _error)
+			{
+				const auto self = weak.lock();
+				if (_error || self == nullptr || !self->answering || self->requestNumber != requestNumber)
+				{
+					return;
+				}
+				char byte = 0;
+				Error error;
+				self->socket().non_blocking(true, error);
+				const std::size_t bytes =
+					self->socket().receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
+				if (bytes == 0 && error != asio::error::would_block)
+				{
+					self->close();
+				}
+			});
+	}
+
+	void writeResponse(HttpResponse _response)
 	{
 		if (this->isClosed)
 		{
@@ -410,7 +413,7 @@
 		this->response.emplace(std::move(message));
 		http::async_write(this->stream, *this->response,
 						  [self = this->shared_from_this()](const Error& _error, std::size_t)
-						  { self->finished(_error); });
+						  { self->onResponseWritten(_error); });
 	}
 
 	void enqueue(std::string _data, bool _last)
@@ -419,8 +422,8 @@
 		{
 			return;
 		}
-		this->unsent += _data.size();
-		if (this->unsent > this->limits.unsentBytes)
+		this->unsentBytes += _data.size();
+		if (this->unsentBytes > this->limits.unsentBytes)
 		{
 			this->close();
 			return;
@@ -436,10 +439,10 @@
 	{
 		asio::async_write(this->stream, asio::buffer(this->chunks.front().first),
 						  [self = this->shared_from_this()](const Error& _error, std::size_t)
-						  { self->chunkWritten(_error); });
+						  { self->onChunkWritten(_error); });
 	}
 
-	void chunkWritten(const Error& _error)
+	void onChunkWritten(const Error& _error)
 	{
 		if (_error || this->isClosed)
 		{
@@ -447,11 +450,11 @@
 			return;
 		}
 		const bool last = this->chunks.front().second;
-		this->unsent -= this->chunks.front().first.size();
+		this->unsentBytes -= this->chunks.front().first.size();
 		this->chunks.pop_front();
 		if (last)
 		{
-			this->finished(_error);
+			this->onResponseWritten(_error);
 			return;
 		}
 		if (!this->chunks.empty())
@@ -460,11 +463,11 @@
 		}
 	}
 
-	void finished(const Error& _error)
+	void onResponseWritten(const Error& _error)
 	{
 		this->answering = false;
-		this->turn += 1;
-		this->gone = nullptr;
+		this->requestNumber += 1;
+		this->disconnectHandler = nullptr;
 		this->response.reset();
 		if (_error || this->isClosed)
 		{
@@ -486,7 +489,7 @@
 		Error ignored;
 		this->socket().shutdown(Tcp::socket::shutdown_send, ignored);
 		this->buffer.clear();
-		this->armTimer(kLingerTime);
+		this->armTimer(kLingerTimeUs);
 		this->discard();
 	}
 
@@ -515,14 +518,14 @@
 		Error ignored;
 		this->socket().shutdown(Tcp::socket::shutdown_send, ignored);
 		this->socket().close(ignored);
-		if (auto function = std::exchange(this->gone, nullptr))
+		if (auto function = std::exchange(this->disconnectHandler, nullptr))
 		{
 			function();
 		}
 	}
 
 	Stream stream;
-	std::shared_ptr<Shared> shared;
+	std::shared_ptr<SharedState> shared;
 	HttpServerLimits limits; ///< Of the request that is being read or answered.
 	asio::steady_timer timer;
 	std::size_t threadIndex;
@@ -530,10 +533,10 @@
 	boost::optional<http::request_parser<http::string_body>> parser;
 	boost::optional<http::response<http::string_body>> response;
 	std::deque<std::pair<std::string, bool>> chunks;
-	std::size_t unsent = 0;
-	std::function<void()> gone;
+	std::size_t unsentBytes = 0;
+	std::function<void()> disconnectHandler;
 	std::chrono::steady_clock::time_point idleSince;
-	std::uint64_t turn = 0;
+	std::uint64_t requestNumber = 0;
 	bool requestKeepAlive = false;
 	bool answering = false;
 	bool timedOut = false;
@@ -589,7 +592,7 @@
 struct HttpServer::Impl : std::enable_shared_from_this<HttpServer::Impl>
 {
 	Impl(IoPool& _pool, HttpServerLimits _limits, TlsFiles _tls, HttpHandler _handler)
-		: pool(_pool), shared(std::make_shared<Shared>()), tls(std::move(_tls)), acceptor(_pool.context(0))
+		: pool(_pool), shared(std::make_shared<SharedState>()), tls(std::move(_tls)), acceptor(_pool.context(0))
 	{
 		this->shared->limits = _limits;
 		this->shared->handler = std::move(_handler);
@@ -608,15 +611,15 @@
 										}
 										if (!_error)
 										{
-											self->begin(std::move(_socket), thread);
+											self->startConnection(std::move(_socket), thread);
 										}
 										self->accept();
 									});
 	}
 
-	void begin(Tcp::socket _socket, std::size_t _thread)
+	void startConnection(Tcp::socket _socket, std::size_t _thread)
 	{
-		if (this->shared->connections >= this->shared->limitsNow().connections)
+		if (this->shared->connections >= this->shared->currentLimits().connections)
 		{
 			return;
 		}
@@ -658,7 +661,7 @@
 	}
 
 	IoPool& pool;
-	std::shared_ptr<Shared> shared;
+	std::shared_ptr<SharedState> shared;
 	TlsFiles tls;
 	std::unique_ptr<asio::ssl::context> context;
 	Tcp::acceptor acceptor;
@@ -678,10 +681,10 @@
 
 std::string HttpServer::listen(const std::string& _ip, std::uint16_t _port)
 {
-	std::string tlsFault = this->impl->loadCertificate();
-	if (!tlsFault.empty())
+	std::string tlsError = this->impl->loadCertificate();
+	if (!tlsError.empty())
 	{
-		return tlsFault;
+		return tlsError;
 	}
 	Error error;
 	const auto ip = asio::ip::make_address(_ip, error);
@@ -718,7 +721,7 @@
 	this->impl->shared->limits = _limits;
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeAfterResponses()
 {
 	this->impl->shared->closing = true;
 }
--- a/src/http_server.h
+++ b/src/http_server.h
@@ -56,7 +56,7 @@
 	virtual void abort() = 0;
 
 	/// Calls a function, on the connection's thread, when the caller closes before it has its answer.
-	virtual void onGone(std::function<void()> _function) = 0;
+	virtual void onDisconnect(std::function<void()> _function) = 0;
 
 	/// @returns Index of the connection's thread in the pool.
 	[[nodiscard]] virtual std::size_t thread() const = 0;
@@ -86,7 +86,7 @@
 	void setLimits(const HttpServerLimits& _limits);
 
 	/// Closes each connection after its next answer, and those that stay silent; new ones are still taken.
-	void closeAfterAnswers();
+	void closeAfterResponses();
 
 	/// Refuses new connections; those that are open go on, and close after their answer.
 	void stopAccepting();
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -127,10 +127,10 @@
 			[&](const RelayRequest& _typed) { this->relay->onRequest(_peer, _typed); },
 			[&](const RelayToken& _typed) { this->relay->onToken(_typed); },
 			[&](const RelayResult& _typed) { this->relay->onResult(_typed); },
-			[&](const TableAsk& _typed)
+			[&](const TableRequest& _typed)
 			{ onControl([this, _peer, _typed] { this->control->onTableAsk(_peer, _typed); }); },
-			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
-			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
+			[&](const TableResponse& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
+			[&](const LeavingNotice& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
 			[&](const Farewell& _typed) { this->traffic->hearFarewell(_typed); },
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->view->onGossip(_peer, _typed); }); },
 			[&](const DemandReport& _typed)
@@ -138,8 +138,8 @@
 			[&](const ShareGrant& _typed)
 			{ onControl([this, _peer, _typed] { this->view->onShares(_peer, _typed); }); },
 			// Of nodes that forward; this kind of node takes no part.
-			[](const RoutesAsk&) {},
-			[](const RoutesGive&) {},
+			[](const RoutesRequest&) {},
+			[](const RoutesResponse&) {},
 			[](const FeedRequest&) {},
 			[](const FeedResponse&) {},
 			[](const PieceSubmit&) {},
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -73,7 +73,8 @@
 	{
 		return false;
 	}
-	const std::string name = nameOfBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
+	const std::string name =
+		authenticateBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
 	if (name.empty())
 	{
 		_reply->send(
--- a/src/peer_link.cpp
+++ b/src/peer_link.cpp
@@ -34,25 +34,26 @@
 using Error = websocketpp::lib::error_code;
 using Clock = std::chrono::steady_clock;
 
-constexpr std::size_t kMessageLimit = 8 * 1024 * 1024;
-constexpr std::size_t kQueueLimit = 4'096; ///< Messages that wait for a connection to open.
+constexpr std::size_t kMaxMessageBytes = 8 * 1024 * 1024;
+constexpr std::size_t kMaxQueuedMessages = 4'096; ///< Messages that wait for a connection to open.
 constexpr long kOpenTimeoutMs = 1'000;
 constexpr const char* kPeerHeader = "X-Roadferry-Peer";
-constexpr std::int64_t kSilenceCheckPeriod = 250'000;  ///< Microseconds.
-constexpr std::chrono::milliseconds kPingAfter{1'000}; ///< Without an answer of any kind to what was written.
-constexpr std::chrono::milliseconds kSilentAfter{2'000};
+constexpr std::int64_t kSilenceCheckPeriodUs = 250'000; ///< Microseconds.
+constexpr std::chrono::milliseconds kPingAfter{1'000};  ///< Without an answer of any kind to what was written.
+constexpr std::chrono::milliseconds kSilenceTimeout{2'000};
 constexpr long kCloseTimeoutMs = 1'000;
 constexpr auto kBinary = websocketpp::frame::opcode::binary;
 
 /// The connection to one node, whichever side opened it.
-struct Peer
+struct PeerConnection
 {
 	Handle handle;
 	bool incoming = false;
 	bool open = false;
 	std::vector<std::string> queued;
-	std::optional<Clock::time_point> unanswered; ///< Oldest message after which nothing has come on this connection.
-	bool pinged = false;                         ///< Since then.
+	std::optional<Clock::time_point>
+		unansweredSince; ///< Oldest message after which nothing has come on this connection.
+	bool pinged = false; ///< Since then.
 };
 
 } // namespace
@@ -69,45 +70,45 @@
 		this->server.init_asio(&_pool.context(0));
 		this->client.init_asio(&_pool.context(0));
 		this->server.set_reuse_addr(true);
-		this->server.set_max_message_size(kMessageLimit);
-		this->client.set_max_message_size(kMessageLimit);
+		this->server.set_max_message_size(kMaxMessageBytes);
+		this->client.set_max_message_size(kMaxMessageBytes);
 		this->client.set_open_handshake_timeout(kOpenTimeoutMs);
 		this->setHandlers();
 	}
 
 	void setHandlers()
 	{
-		this->server.set_validate_handler([this](const Handle& _handle) { return this->isPeer(_handle); });
-		this->server.set_open_handler([this](const Handle& _handle) { this->accepted(_handle); });
+		this->server.set_validate_handler([this](const Handle& _handle) { return this->isAuthorizedPeer(_handle); });
+		this->server.set_open_handler([this](const Handle& _handle) { this->onAccepted(_handle); });
 		this->server.set_message_handler(
 			[this](const Handle& _handle, const Server::message_ptr& _message)
-			{ this->received(this->announced(_handle), _handle, _message->get_payload()); });
+			{ this->onMessage(this->peerAddress(_handle), _handle, _message->get_payload()); });
 		this->server.set_pong_handler([this](const Handle& _handle, const std::string&)
-									  { this->answered(this->announced(_handle), _handle); });
+									  { this->onActivity(this->peerAddress(_handle), _handle); });
 		this->server.set_close_handshake_timeout(kCloseTimeoutMs);
 		this->client.set_close_handshake_timeout(kCloseTimeoutMs);
 		this->server.set_close_handler([this](const Handle& _handle)
-									   { this->closed(this->announced(_handle), _handle); });
+									   { this->onClosed(this->peerAddress(_handle), _handle); });
 		this->server.set_fail_handler([](const Handle&) {});
 	}
 
-	bool isPeer(const Handle& _handle)
+	bool isAuthorizedPeer(const Handle& _handle)
 	{
 		const auto connection = this->server.get_con_from_hdl(_handle);
-		const std::string credential = bearerOf(connection->get_request_header("Authorization"));
+		const std::string credential = bearerToken(connection->get_request_header("Authorization"));
 		return equalSecrets(credential, this->secret) && !connection->get_request_header(kPeerHeader).empty();
 	}
 
-	std::string announced(const Handle& _handle)
+	std::string peerAddress(const Handle& _handle)
 	{
 		Error error;
 		const auto connection = this->server.get_con_from_hdl(_handle, error);
 		return error ? std::string() : connection->get_request_header(kPeerHeader);
 	}
 
-	void accepted(const Handle& _handle)
+	void onAccepted(const Handle& _handle)
 	{
-		Peer& peer = this->peers[this->announced(_handle)];
+		PeerConnection& peer = this->peers[this->peerAddress(_handle)];
 		if (peer.open && !peer.incoming)
 		{
 			return; // Both sides opened one at the same time.
@@ -116,7 +117,7 @@
 		{
 			this->closeConnection(peer); // The other side has given it up.
 		}
-		peer.unanswered.reset();
+		peer.unansweredSince.reset();
 		peer.pinged = false;
 		peer.handle = _handle;
 		peer.incoming = true;
@@ -124,25 +125,25 @@
 		this->flush(peer);
 	}
 
-	void received(const std::string& _peer, const Handle& _handle, const std::string& _message)
+	void onMessage(const std::string& _peer, const Handle& _handle, const std::string& _message)
 	{
-		this->byteCount += _message.size();
-		this->answered(_peer, _handle);
+		this->transferredBytes += _message.size();
+		this->onActivity(_peer, _handle);
 		this->handlers.onMessage(_peer, _message);
 	}
 
-	static bool isSame(const Handle& _left, const Handle& _right)
+	static bool isSameConnection(const Handle& _left, const Handle& _right)
 	{
 		return !_left.owner_before(_right) && !_right.owner_before(_left);
 	}
 
 	/// Something has come on a connection.
-	void answered(const std::string& _peer, const Handle& _handle)
+	void onActivity(const std::string& _peer, const Handle& _handle)
 	{
 		const auto found = this->peers.find(_peer);
-		if (found != this->peers.end() && isSame(found->second.handle, _handle))
+		if (found != this->peers.end() && isSameConnection(found->second.handle, _handle))
 		{
-			found->second.unanswered.reset();
+			found->second.unansweredSince.reset();
 			found->second.pinged = false;
 		}
 	}
@@ -154,27 +155,27 @@
 		std::vector<std::string> silent;
 		for (auto& entry : this->peers)
 		{
-			Peer& peer = entry.second;
-			if (!peer.open || !peer.unanswered)
+			PeerConnection& peer = entry.second;
+			if (!peer.open || !peer.unansweredSince)
 			{
 				continue;
 			}
-			if (now - *peer.unanswered >= kSilentAfter && peer.pinged)
+			if (now - *peer.unansweredSince >= kSilenceTimeout && peer.pinged)
 			{
 				silent.push_back(entry.first);
 			}
-			else if (now - *peer.unanswered >= kPingAfter && !peer.pinged)
+			else if (now - *peer.unansweredSince >= kPingAfter && !peer.pinged)
 			{
 				this->ping(peer);
 			}
 		}
 		for (const std::string& peer : silent)
 		{
-			this->giveUp(peer);
+			this->closeSilent(peer);
 		}
 	}
 
-	void ping(Peer& _peer)
+	void ping(PeerConnection& _peer)
 	{
 		Error ignored;
 		_peer.pinged = true;
@@ -186,16 +187,16 @@
 		this->client.ping(_peer.handle, "", ignored);
 	}
 
-	void giveUp(const std::string& _peer)
+	void closeSilent(const std::string& _peer)
 	{
-		const Peer peer = this->peers.at(_peer);
+		const PeerConnection peer = this->peers.at(_peer);
 		this->peers.erase(_peer);
 		this->closeConnection(peer);
-		this->silentCount += 1;
+		this->silentConnectionsClosed += 1;
 		this->handlers.onClosed(_peer);
 	}
 
-	void closeConnection(const Peer& _peer)
+	void closeConnection(const PeerConnection& _peer)
 	{
 		Error ignored;
 		if (_peer.incoming)
@@ -206,14 +207,14 @@
 		this->client.close(_peer.handle, websocketpp::close::status::going_away, "", ignored);
 	}
 
-	void closed(const std::string& _peer, const Handle& _handle)
+	void onClosed(const std::string& _peer, const Handle& _handle)
 	{
 		const auto found = this->peers.find(_peer);
 		if (found == this->peers.end())
 		{
 			return;
 		}
-		if (!isSame(found->second.handle, _handle))
+		if (!isSameConnection(found->second.handle, _handle))
 		{
 			return;
 		}
@@ -221,7 +222,7 @@
 		this->handlers.onClosed(_peer);
 	}
 
-	void flush(Peer& _peer)
+	void flush(PeerConnection& _peer)
 	{
 		const std::vector<std::string> messages = std::move(_peer.queued);
 		_peer.queued.clear();
@@ -231,45 +232,45 @@
 		}
 	}
 
-	void write(Peer& _peer, const std::string& _message)
+	void write(PeerConnection& _peer, const std::string& _message)
 	{
 		// A connection that fails here is closed by the library, which calls the close handler.
 		Error ignored;
-		this->byteCount += _message.size();
-		_peer.unanswered = _peer.unanswered.value_or(Clock::now());
+		this->transferredBytes += _message.size();
+		_peer.unansweredSince = _peer.unansweredSince.value_or(Clock::now());
 		if (_peer.incoming)
 		{
 			this->server.send(_peer.handle, _message, kBinary, ignored);
-			this->noteQueued(this->server.get_con_from_hdl(_peer.handle, ignored));
+			this->recordQueuedBytes(this->server.get_con_from_hdl(_peer.handle, ignored));
 			return;
 		}
 		this->client.send(_peer.handle, _message, kBinary, ignored);
-		this->noteQueued(this->client.get_con_from_hdl(_peer.handle, ignored));
+		this->recordQueuedBytes(this->client.get_con_from_hdl(_peer.handle, ignored));
 	}
 
 	template<class Connection>
-	void noteQueued(const Connection& _connection)
+	void recordQueuedBytes(const Connection& _connection)
 	{
 		if (_connection != nullptr)
 		{
-			this->mostQueued = std::max<std::uint64_t>(this->mostQueued, _connection->get_buffered_amount());
+			this->maxQueuedBytes = std::max<std::uint64_t>(this->maxQueuedBytes, _connection->get_buffered_amount());
 		}
 	}
 
-	void sendNow(const std::string& _peer, std::string _message)
+	void sendOrQueue(const std::string& _peer, std::string _message)
 	{
 		if (this->closing)
 		{
 			return;
 		}
 		const bool known = this->peers.count(_peer) > 0;
-		Peer& peer = this->peers[_peer];
+		PeerConnection& peer = this->peers[_peer];
 		if (peer.open)
 		{
 			this->write(peer, _message);
 			return;
 		}
-		if (peer.queued.size() < kQueueLimit)
+		if (peer.queued.size() < kMaxQueuedMessages)
 		{
 			peer.queued.push_back(std::move(_message));
 		}
@@ -291,20 +292,20 @@
 		}
 		connection->append_header("Authorization", "Bearer " + this->secret);
 		connection->append_header(kPeerHeader, this->selfAddress);
-		connection->set_open_handler([this, _peer](const Handle& _handle) { this->opened(_peer, _handle); });
+		connection->set_open_handler([this, _peer](const Handle& _handle) { this->onOpened(_peer, _handle); });
 		connection->set_message_handler([this, _peer](const Handle& _handle, const Client::message_ptr& _message)
-										{ this->received(_peer, _handle, _message->get_payload()); });
+										{ this->onMessage(_peer, _handle, _message->get_payload()); });
 		connection->set_pong_handler([this, _peer](const Handle& _handle, const std::string&)
-									 { this->answered(_peer, _handle); });
-		connection->set_close_handler([this, _peer](const Handle& _handle) { this->closed(_peer, _handle); });
-		connection->set_fail_handler([this, _peer](const Handle& _handle) { this->closed(_peer, _handle); });
+									 { this->onActivity(_peer, _handle); });
+		connection->set_close_handler([this, _peer](const Handle& _handle) { this->onClosed(_peer, _handle); });
+		connection->set_fail_handler([this, _peer](const Handle& _handle) { this->onClosed(_peer, _handle); });
 		this->peers[_peer].handle = connection->get_handle();
 		this->client.connect(connection);
 	}
 
-	void opened(const std::string& _peer, const Handle& _handle)
+	void onOpened(const std::string& _peer, const Handle& _handle)
 	{
-		Peer& peer = this->peers[_peer];
+		PeerConnection& peer = this->peers[_peer];
 		if (peer.open)
 		{
 			// The other side opened one at the same time; both stay usable, and that one is in use.
@@ -339,10 +340,10 @@
 	std::string selfAddress;
 	Server server;
 	Client client;
-	std::map<std::string, Peer> peers;
-	std::atomic<std::uint64_t> byteCount{0};
-	std::atomic<std::uint64_t> mostQueued{0};
-	std::atomic<std::uint64_t> silentCount{0};
+	std::map<std::string, PeerConnection> peers;
+	std::atomic<std::uint64_t> transferredBytes{0};
+	std::atomic<std::uint64_t> maxQueuedBytes{0};
+	std::atomic<std::uint64_t> silentConnectionsClosed{0};
 	bool closing = false;
 };
 
@@ -353,7 +354,7 @@
 
 PeerLink::~PeerLink() = default;
 
-std::string PeerLink::listen(const std::string& _ip, std::uint16_t _port, const std::string& _announced)
+std::string PeerLink::listen(const std::string& _ip, std::uint16_t _port, const std::string& _announcedAddress)
 {
 	Error error;
 	boost::system::error_code addressError;
@@ -369,9 +370,10 @@
 	}
 	boost::system::error_code ignored;
 	const auto endpoint = this->impl->server.get_local_endpoint(ignored);
-	this->impl->selfAddress = _announced.empty() ? _ip + ":" + std::to_string(endpoint.port()) : _announced;
+	this->impl->selfAddress =
+		_announcedAddress.empty() ? _ip + ":" + std::to_string(endpoint.port()) : _announcedAddress;
 	this->impl->server.start_accept(error);
-	this->impl->pool.every(0, kSilenceCheckPeriod, [impl = this->impl] { impl->checkSilence(); });
+	this->impl->pool.every(0, kSilenceCheckPeriodUs, [impl = this->impl] { impl->checkSilence(); });
 	return error ? "peer listen: " + error.message() : std::string();
 }
 
@@ -383,22 +385,22 @@
 void PeerLink::send(const std::string& _peer, std::string _message)
 {
 	this->impl->pool.post(0, [impl = this->impl, _peer, message = std::move(_message)]() mutable
-						  { impl->sendNow(_peer, std::move(message)); });
+						  { impl->sendOrQueue(_peer, std::move(message)); });
 }
 
-std::uint64_t PeerLink::bytes() const
+std::uint64_t PeerLink::transferredBytes() const
 {
-	return this->impl->byteCount;
+	return this->impl->transferredBytes;
 }
 
-std::uint64_t PeerLink::silentConnections() const
+std::uint64_t PeerLink::silentConnectionsClosed() const
 {
-	return this->impl->silentCount;
+	return this->impl->silentConnectionsClosed;
 }
 
-std::uint64_t PeerLink::takeMostQueued()
+std::uint64_t PeerLink::takeMaxQueuedBytes()
 {
-	return this->impl->mostQueued.exchange(0);
+	return this->impl->maxQueuedBytes.exchange(0);
 }
 
 void PeerLink::close()
--- a/src/peer_link.h
+++ b/src/peer_link.h
@@ -43,9 +43,9 @@
 
 	/// @param[in] _ip IP number to listen on.
 	/// @param[in] _port Port, or 0 for one that is free.
-	/// @param[in] _announced Address at which other nodes reach this one; empty for the one that it listens on.
+	/// @param[in] _announcedAddress Address at which other nodes reach this one; empty for the one that it listens on.
 	/// @returns Empty on success, otherwise what went wrong.
-	std::string listen(const std::string& _ip, std::uint16_t _port, const std::string& _announced = {});
+	std::string listen(const std::string& _ip, std::uint16_t _port, const std::string& _announcedAddress = {});
 
 	/// @returns Own address, as other nodes know it.
 	[[nodiscard]] const std::string& self() const;
@@ -54,13 +54,13 @@
 	void send(const std::string& _peer, std::string _message);
 
 	/// @returns Bytes of messages sent and received so far.
-	[[nodiscard]] std::uint64_t bytes() const;
+	[[nodiscard]] std::uint64_t transferredBytes() const;
 
 	/// @returns How many connections were given up since nothing came on them any more.
-	[[nodiscard]] std::uint64_t silentConnections() const;
+	[[nodiscard]] std::uint64_t silentConnectionsClosed() const;
 
 	/// @returns Most bytes that waited for one node since the last call.
-	[[nodiscard]] std::uint64_t takeMostQueued();
+	[[nodiscard]] std::uint64_t takeMaxQueuedBytes();
 
 	/// Closes all connections. Call before the pool is stopped.
 	void close();
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -23,86 +23,86 @@
 {
 
 constexpr const char* kTypeField = "type";
-constexpr std::int64_t kRelayKinds = 3;
-constexpr std::int64_t kGossipKinds = 4;
-constexpr std::int64_t kMemberStates = 4;
-constexpr std::int64_t kVerdicts = 3;
-constexpr std::int64_t kReasons = 18;
-constexpr qsizetype kEndpointFields = 9;
+constexpr std::int64_t kRelayKindCount = 3;
+constexpr std::int64_t kGossipKindCount = 4;
+constexpr std::int64_t kMemberStateCount = 4;
+constexpr std::int64_t kVerdictCount = 3;
+constexpr std::int64_t kReasonCount = 18;
+constexpr qsizetype kEndpointFieldCount = 9;
 
 QCborMap toCbor(const RelayRequest& _message)
 {
 	return QCborMap{{"type", "relay_request"},
-					{"relay", static_cast<qint64>(_message.relay)},
+					{"relay", static_cast<qint64>(_message.relayId)},
 					{"kind", static_cast<qint64>(_message.kind)},
-					{"ticket", text(_message.ticket)},
-					{"workspace", text(_message.workspace)},
-					{"pipeline", text(_message.pipeline)},
+					{"ticket", toQString(_message.ticket)},
+					{"workspace", toQString(_message.workspace)},
+					{"pipeline", toQString(_message.pipeline)},
 					{"body", QByteArray::fromStdString(_message.body)},
-					{"trace", text(_message.trace)}};
+					{"trace", toQString(_message.trace)}};
 }
 
 QCborMap toCbor(const RelayToken& _message)
 {
 	return QCborMap{{"type", "relay_token"},
-					{"relay", static_cast<qint64>(_message.relay)},
+					{"relay", static_cast<qint64>(_message.relayId)},
 					{"position", static_cast<qint64>(_message.position)},
-					{"text", text(_message.text)}};
+					{"text", toQString(_message.text)}};
 }
 
 QCborMap toCbor(const RelayResult& _message)
 {
 	return QCborMap{{"type", "relay_result"},
-					{"relay", static_cast<qint64>(_message.relay)},
+					{"relay", static_cast<qint64>(_message.relayId)},
 					{"status", static_cast<qint64>(_message.status)},
 					{"retry_after", static_cast<qint64>(_message.retryAfter)},
 					{"json", QByteArray::fromStdString(_message.json)}};
 }
 
-QCborMap toCbor(const TableAsk& _message)
+QCborMap toCbor(const TableRequest& _message)
 {
 	return QCborMap{{"type", "table_ask"}, {"offset", static_cast<qint64>(_message.offset)}};
 }
 
-QCborMap toCbor(const TableGive& _message)
+QCborMap toCbor(const TableResponse& _message)
 {
 	return QCborMap{{"type", "table_give"}, {"snapshot", QByteArray::fromStdString(_message.snapshot)}};
 }
 
-QCborMap toCbor(const LeavingWord& _message)
+QCborMap toCbor(const LeavingNotice& _message)
 {
-	return QCborMap{{"type", "leaving"}, {"endpoints", textArray(_message.endpoints)}};
+	return QCborMap{{"type", "leaving"}, {"endpoints", toCborArray(_message.endpoints)}};
 }
 
 QCborMap toCbor(const Farewell& _message)
 {
-	QCborArray ended;
+	QCborArray outcomes;
 	for (const auto& entry : _message.ended)
 	{
 		const Outcome& outcome = entry.second;
-		ended.append(QCborArray{static_cast<qint64>(entry.first), static_cast<qint64>(outcome.verdict),
-								static_cast<qint64>(outcome.reason), outcome.repeatSafe});
+		outcomes.append(QCborArray{static_cast<qint64>(entry.first), static_cast<qint64>(outcome.verdict),
+								   static_cast<qint64>(outcome.reason), outcome.repeatSafe});
 	}
 	return QCborMap{{"type", "farewell"},
-					{"node", text(_message.issuer.node)},
+					{"node", toQString(_message.issuer.node)},
 					{"incarnation", static_cast<qint64>(_message.issuer.number)},
 					{"forgotten", static_cast<qint64>(_message.forgottenUpTo)},
-					{"ended", ended}};
+					{"ended", outcomes}};
 }
 
 QCborMap toCbor(const Gossip& _message)
 {
-	QCborArray news;
+	QCborArray updates;
 	for (const Member& member : _message.news)
 	{
-		news.append(QCborArray{text(member.address), static_cast<qint64>(member.version),
-							   static_cast<qint64>(member.state), static_cast<qint64>(member.tableOffset)});
+		updates.append(QCborArray{toQString(member.address), static_cast<qint64>(member.version),
+								  static_cast<qint64>(member.state), static_cast<qint64>(member.tableOffset)});
 	}
 	return QCborMap{{"type", "gossip"},
 					{"kind", static_cast<qint64>(_message.kind)},
 					{"sequence", static_cast<qint64>(_message.sequence)},
-					{"target", text(_message.target)},
-					{"news", news}};
+					{"target", toQString(_message.target)},
+					{"news", updates}};
 }
 
 QCborMap toCbor(const std::map<std::string, std::int64_t>& _numbers)
@@ -110,7 +110,7 @@
 	QCborMap map;
 	for (const auto& entry : _numbers)
 	{
-		map.insert(text(entry.first), static_cast<qint64>(entry.second));
+		map.insert(toQString(entry.first), static_cast<qint64>(entry.second));
 	}
 	return map;
 }
@@ -125,10 +125,11 @@
 	return QCborMap{{"type", "shares"}, {"shares", toCbor(_message.shares)}};
 }
 
-QCborMap toCbor(const RoutesAsk& _message)
+QCborMap toCbor(const RoutesRequest& _message)
 {
-	return QCborMap{
-		{"type", "routes_ask"}, {"version", static_cast<qint64>(_message.version)}, {"endpoints", _message.endpoints}};
+	return QCborMap{{"type", "routes_ask"},
+					{"version", static_cast<qint64>(_message.version)},
+					{"endpoints", _message.needsEndpoints}};
 }
 
 QCborArray toCbor(const std::vector<ListedEndpoint>& _entries)
@@ -137,10 +138,10 @@
 	for (const ListedEndpoint& entry : _entries)
 	{
 		const Endpoint& endpoint = entry.endpoint;
-		array.append(QCborArray{text(entry.name), static_cast<qint64>(entry.position), text(endpoint.id),
-								text(endpoint.address), text(endpoint.pool), text(endpoint.failureDomain),
-								static_cast<qint64>(endpoint.slots), endpoint.leaving,
-								static_cast<qint64>(entry.startedAt)});
+		array.append(QCborArray{toQString(entry.name), static_cast<qint64>(entry.position), toQString(endpoint.id),
+								toQString(endpoint.address), toQString(endpoint.pool),
+								toQString(endpoint.failureDomain), static_cast<qint64>(endpoint.slots),
+								endpoint.leaving, static_cast<qint64>(entry.startedAt)});
 	}
 	return array;
 }
@@ -148,7 +149,7 @@
 std::vector<ListedEndpoint> readEndpoints(CborReader& _reader, const char* _name)
 {
 	std::vector<ListedEndpoint> entries;
-	for (const QCborArray& fields : _reader.arrays(_name, kEndpointFields))
+	for (const QCborArray& fields : _reader.arrays(_name, kEndpointFieldCount))
 	{
 		ListedEndpoint entry;
 		entry.name = fields.at(0).toString().toStdString();
@@ -165,12 +166,12 @@
 	return entries;
 }
 
-QCborMap toCbor(const RoutesGive& _message)
+QCborMap toCbor(const RoutesResponse& _message)
 {
 	return QCborMap{{"type", "routes_give"},
 					{"record", QByteArray::fromStdString(_message.record)},
 					{"endpoints", toCbor(_message.endpoints)},
-					{"leaving", textArray(_message.leaving)}};
+					{"leaving", toCborArray(_message.leaving)}};
 }
 
 QCborMap toCbor(const FeedRequest& _message)
@@ -193,7 +194,7 @@
 				 {"position", static_cast<qint64>(_message.endpoints.position)},
 				 {"whole", _message.endpoints.isSnapshot},
 				 {"listed", toCbor(_message.endpoints.listed)},
-				 {"unlisted", textArray(_message.endpoints.unlisted)}};
+				 {"unlisted", toCborArray(_message.endpoints.unlisted)}};
 	if (_message.age)
 	{
 		map.insert(QStringLiteral("age"), static_cast<qint64>(*_message.age));
@@ -201,15 +202,15 @@
 	return map;
 }
 
-FeedResponse readFeedNews(CborReader& _reader)
+FeedResponse readFeedResponse(CborReader& _reader)
 {
 	FeedResponse message;
 	message.record = _reader.bytes("record");
-	message.directoryId = _reader.natural("source");
-	message.version = _reader.natural("version");
+	message.directoryId = _reader.unsignedInteger("source");
+	message.version = _reader.unsignedInteger("version");
 	message.requestSentAt = _reader.integer("answers");
-	message.endpoints.revision = _reader.natural("revision");
-	message.endpoints.position = _reader.natural("position");
+	message.endpoints.revision = _reader.unsignedInteger("revision");
+	message.endpoints.position = _reader.unsignedInteger("position");
 	message.endpoints.isSnapshot = _reader.boolean("whole");
 	message.endpoints.listed = readEndpoints(_reader, "listed");
 	message.endpoints.unlisted = _reader.texts("unlisted");
@@ -220,25 +221,25 @@
 	return message;
 }
 
-RoutesGive readRoutesGive(CborReader& _reader)
+RoutesResponse readRoutesResponse(CborReader& _reader)
 {
-	RoutesGive message;
+	RoutesResponse message;
 	message.record = _reader.bytes("record");
 	message.endpoints = readEndpoints(_reader, "endpoints");
 	message.leaving = _reader.texts("leaving");
 	return message;
 }
 
-Farewell readFarewell(CborReader& _reader)
+Farewell readShutdownReport(CborReader& _reader)
 {
 	Farewell message;
-	message.issuer = Incarnation{_reader.text("node"), _reader.natural("incarnation")};
-	message.forgottenUpTo = _reader.natural("forgotten");
+	message.issuer = Incarnation{_reader.text("node"), _reader.unsignedInteger("incarnation")};
+	message.forgottenUpTo = _reader.unsignedInteger("forgotten");
 	for (const QCborArray& entry : _reader.arrays("ended", 4))
 	{
 		Outcome outcome;
-		outcome.verdict = static_cast<Verdict>(_reader.below(entry.at(1), kVerdicts, "ended"));
-		outcome.reason = static_cast<Reason>(_reader.below(entry.at(2), kReasons, "ended"));
+		outcome.verdict = static_cast<Verdict>(_reader.enumValue(entry.at(1), kVerdictCount, "ended"));
+		outcome.reason = static_cast<Reason>(_reader.enumValue(entry.at(2), kReasonCount, "ended"));
 		outcome.repeatSafe = entry.at(3).toBool();
 		message.ended.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
 	}
@@ -248,15 +249,15 @@
 Gossip readGossip(CborReader& _reader)
 {
 	Gossip message;
-	message.kind = static_cast<GossipKind>(_reader.below(_reader.value("kind"), kGossipKinds, "kind"));
-	message.sequence = _reader.natural("sequence");
+	message.kind = static_cast<GossipKind>(_reader.enumValue(_reader.value("kind"), kGossipKindCount, "kind"));
+	message.sequence = _reader.unsignedInteger("sequence");
 	message.target = _reader.text("target");
 	for (const QCborArray& entry : _reader.arrays("news", 4))
 	{
 		Member member;
 		member.address = entry.at(0).toString().toStdString();
 		member.version = static_cast<std::uint64_t>(entry.at(1).toInteger());
-		member.state = static_cast<MemberState>(_reader.below(entry.at(2), kMemberStates, "news"));
+		member.state = static_cast<MemberState>(_reader.enumValue(entry.at(2), kMemberStateCount, "news"));
 		member.tableOffset = static_cast<std::uint64_t>(entry.at(3).toInteger());
 		message.news.push_back(member);
 	}
@@ -268,8 +269,8 @@
 	if (_type == "relay_request")
 	{
 		RelayRequest message;
-		message.relay = _reader.natural("relay");
-		message.kind = static_cast<RelayKind>(_reader.below(_reader.value("kind"), kRelayKinds, "kind"));
+		message.relayId = _reader.unsignedInteger("relay");
+		message.kind = static_cast<RelayKind>(_reader.enumValue(_reader.value("kind"), kRelayKindCount, "kind"));
 		message.ticket = _reader.text("ticket");
 		message.workspace = _reader.text("workspace");
 		message.pipeline = _reader.text("pipeline");
@@ -279,28 +280,28 @@
 	}
 	if (_type == "relay_token")
 	{
-		return RelayToken{_reader.natural("relay"), _reader.integer("position"), _reader.text("text")};
+		return RelayToken{_reader.unsignedInteger("relay"), _reader.integer("position"), _reader.text("text")};
 	}
 	if (_type == "relay_result")
 	{
-		return RelayResult{_reader.natural("relay"), _reader.integer("status"), _reader.integer("retry_after"),
+		return RelayResult{_reader.unsignedInteger("relay"), _reader.integer("status"), _reader.integer("retry_after"),
 						   _reader.bytes("json")};
 	}
 	if (_type == "table_ask")
 	{
-		return TableAsk{_reader.natural("offset")};
+		return TableRequest{_reader.unsignedInteger("offset")};
 	}
 	if (_type == "table_give")
 	{
-		return TableGive{_reader.bytes("snapshot")};
+		return TableResponse{_reader.bytes("snapshot")};
 	}
 	if (_type == "leaving")
 	{
-		return LeavingWord{_reader.texts("endpoints")};
+		return LeavingNotice{_reader.texts("endpoints")};
 	}
 	if (_type == "farewell")
 	{
-		return readFarewell(_reader);
+		return readShutdownReport(_reader);
 	}
 	if (_type == "gossip")
 	{
@@ -308,28 +309,28 @@
 	}
 	if (_type == "demand")
 	{
-		return DemandReport{_reader.boolean("fallback"), _reader.numbers("demand")};
+		return DemandReport{_reader.boolean("fallback"), _reader.integerMap("demand")};
 	}
 	if (_type == "shares")
 	{
-		return ShareGrant{_reader.numbers("shares")};
+		return ShareGrant{_reader.integerMap("shares")};
 	}
 	if (_type == "routes_ask")
 	{
-		return RoutesAsk{_reader.natural("version"), _reader.boolean("endpoints")};
+		return RoutesRequest{_reader.unsignedInteger("version"), _reader.boolean("endpoints")};
 	}
 	if (_type == "routes_give")
 	{
-		return readRoutesGive(_reader);
+		return readRoutesResponse(_reader);
 	}
 	if (_type == "feed_ask")
 	{
-		return FeedRequest{_reader.natural("version"), _reader.natural("source"), _reader.natural("revision"),
-						   _reader.integer("sent_at")};
+		return FeedRequest{_reader.unsignedInteger("version"), _reader.unsignedInteger("source"),
+						   _reader.unsignedInteger("revision"), _reader.integer("sent_at")};
 	}
 	if (_type == "feed_news")
 	{
-		return readFeedNews(_reader);
+		return readFeedResponse(_reader);
 	}
 	if (_type == "piece_ask")
 	{
@@ -341,14 +342,14 @@
 	}
 	if (_type == "piece_drop")
 	{
-		return PieceCancel{_reader.naturals("orders")};
+		return PieceCancel{_reader.unsignedIntegers("orders")};
 	}
 	if (_type == "piece_free")
 	{
 		return PieceFree{_reader.texts("handles")};
 	}
-	_reader.fault(kTypeField, "one that this version knows");
-	return TableAsk{};
+	_reader.setError(kTypeField, "one that this version knows");
+	return TableRequest{};
 }
 
 } // namespace
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -18,14 +18,14 @@
 enum class RelayKind
 {
 	Submit,
-	Look,
+	Query,
 	Cancel
 };
 
 /// A caller's call, passed on to the incarnation that issued its ticket.
 struct RelayRequest
 {
-	std::uint64_t relay = 0; ///< Chosen by the sender; echoed in answers.
+	std::uint64_t relayId = 0; ///< Chosen by the sender; echoed in answers.
 	RelayKind kind = RelayKind::Submit;
 	std::string ticket;
 	std::string workspace;
@@ -38,7 +38,7 @@
 /// One token of a relayed request.
 struct RelayToken
 {
-	std::uint64_t relay = 0;
+	std::uint64_t relayId = 0;
 	std::int64_t position = 0;
 	std::string text;
 	bool operator==(const RelayToken&) const = default;
@@ -47,7 +47,7 @@
 /// End of a relayed call.
 struct RelayResult
 {
-	std::uint64_t relay = 0;
+	std::uint64_t relayId = 0;
 	std::int64_t status = 0;
 	Micros retryAfter = 0;
 	std::string json;
@@ -55,46 +55,46 @@
 };
 
 /// Asks for the table, when the log cannot be read.
-struct TableAsk
+struct TableRequest
 {
 	std::uint64_t offset = 0; ///< What the sender holds already.
-	bool operator==(const TableAsk&) const = default;
+	bool operator==(const TableRequest&) const = default;
 };
 
 /// The table of a node that holds more than was asked with.
-struct TableGive
+struct TableResponse
 {
 	std::string snapshot; ///< JSON form of a TableSnapshot.
-	bool operator==(const TableGive&) const = default;
+	bool operator==(const TableResponse&) const = default;
 };
 
 /// Endpoints that are known to be leaving.
-struct LeavingWord
+struct LeavingNotice
 {
 	std::vector<std::string> endpoints;
-	bool operator==(const LeavingWord&) const = default;
+	bool operator==(const LeavingNotice&) const = default;
 };
 
 /// Asks for what another node knows of routes and endpoints, while the platform is away.
-struct RoutesAsk
+struct RoutesRequest
 {
-	std::uint64_t version = 0; ///< Version of the routes that the sender holds, 0 for none.
-	bool endpoints = false;    ///< Whether the sender knows no endpoints yet.
-	bool operator==(const RoutesAsk&) const = default;
+	std::uint64_t version = 0;   ///< Version of the routes that the sender holds, 0 for none.
+	bool needsEndpoints = false; ///< Whether the sender knows no endpoints yet.
+	bool operator==(const RoutesRequest&) const = default;
 };
 
 /// What a node knows beyond what was asked with.
-struct RoutesGive
+struct RoutesResponse
 {
 	std::string record; ///< The routes as the platform keeps them; empty when the asker holds them.
 	std::vector<ListedEndpoint> endpoints;
 	std::vector<std::string> leaving; ///< Endpoints that were seen leaving.
-	bool operator==(const RoutesGive&) const = default;
+	bool operator==(const RoutesResponse&) const = default;
 };
 
-using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord, Farewell,
-								 Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedRequest, FeedResponse,
-								 PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
+using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableRequest, TableResponse, LeavingNotice,
+								 Farewell, Gossip, DemandReport, ShareGrant, RoutesRequest, RoutesResponse, FeedRequest,
+								 FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
 /// @returns The message as CBOR.
 std::string encode(const PeerMessage& _message);
--- a/src/piece_messages.cpp
+++ b/src/piece_messages.cpp
@@ -30,16 +30,16 @@
 QCborArray orderToCbor(const PieceOrder& _order)
 {
 	return QCborArray{static_cast<qint64>(_order.orderId),
-					  text(_order.request),
+					  toQString(_order.request),
 					  static_cast<qint64>(_order.index.stage),
 					  static_cast<qint64>(_order.index.piece),
-					  text(_order.key),
-					  textArray(_order.inputs),
+					  toQString(_order.key),
+					  toCborArray(_order.inputs),
 					  static_cast<qint64>(_order.deadline),
 					  static_cast<qint64>(_order.due),
 					  static_cast<qint64>(_order.priority),
 					  static_cast<qint64>(_order.resultBytes),
-					  text(_order.preferredDomain)};
+					  toQString(_order.preferredDomain)};
 }
 
 PieceOrder orderFromCbor(const QCborArray& _fields)
@@ -85,13 +85,13 @@
 	{
 		orders.append(orderToCbor(order));
 	}
-	QCborMap map{{"type", "piece_ask"}, {"pool", text(_message.pool)}, {"orders", orders}};
+	QCborMap map{{"type", "piece_ask"}, {"pool", toQString(_message.pool)}, {"orders", orders}};
 	if (_message.admission)
 	{
 		QCborArray demand;
 		for (const PoolDemand& pool : _message.admission->demand)
 		{
-			demand.append(QCborArray{text(pool.pool), static_cast<qint64>(pool.pieces)});
+			demand.append(QCborArray{toQString(pool.pool), static_cast<qint64>(pool.pieces)});
 		}
 		map.insert(QStringLiteral("wait_most"), static_cast<qint64>(_message.admission->waitMost));
 		map.insert(QStringLiteral("refusable"), _message.admission->refusable);
@@ -110,7 +110,8 @@
 	QCborArray completed;
 	for (const PieceCompleted& piece : _message.completed)
 	{
-		completed.append(QCborArray{static_cast<qint64>(piece.orderId), text(piece.handle), text(piece.failureDomain)});
+		completed.append(
+			QCborArray{static_cast<qint64>(piece.orderId), toQString(piece.handle), toQString(piece.failureDomain)});
 	}
 	QCborArray failed;
 	for (const PieceFailed& piece : _message.failed)
@@ -120,7 +121,7 @@
 	QCborMap waits;
 	for (const auto& entry : _message.waits)
 	{
-		waits.insert(text(entry.first), static_cast<qint64>(entry.second));
+		waits.insert(toQString(entry.first), static_cast<qint64>(entry.second));
 	}
 	return QCborMap{
 		{"type", "piece_give"}, {"started", started}, {"made", completed}, {"failed", failed}, {"waits", waits}};
@@ -138,7 +139,7 @@
 
 QCborMap toCbor(const PieceFree& _message)
 {
-	return QCborMap{{"type", "piece_free"}, {"handles", textArray(_message.handles)}};
+	return QCborMap{{"type", "piece_free"}, {"handles", toCborArray(_message.handles)}};
 }
 
 PieceSubmit readPieceSubmit(CborReader& _reader)
@@ -156,7 +157,7 @@
 PieceUpdate readPieceUpdate(CborReader& _reader)
 {
 	PieceUpdate message;
-	for (const std::uint64_t order : _reader.naturals("started"))
+	for (const std::uint64_t order : _reader.unsignedIntegers("started"))
 	{
 		message.started.push_back(PieceStarted{order});
 	}
@@ -170,9 +171,9 @@
 	{
 		message.failed.push_back(
 			PieceFailed{static_cast<std::uint64_t>(fields.at(0).toInteger()),
-						static_cast<PieceFault>(_reader.below(fields.at(1), kFaultCount, "failed"))});
+						static_cast<PieceFault>(_reader.enumValue(fields.at(1), kFaultCount, "failed"))});
 	}
-	message.waits = _reader.numbers("waits");
+	message.waits = _reader.integerMap("waits");
 	return message;
 }
 
--- a/src/piece_runner.cpp
+++ b/src/piece_runner.cpp
@@ -177,7 +177,7 @@
 	// The scheduler cancels the call earlier; this is a fallback.
 	spec.timeout = _batch.deadline - now + kConnectTimeout;
 	spec.connectTimeout = kConnectTimeout;
-	spec.noticeSilence = true;
+	spec.detectDeadConnection = true;
 	CallHandlers calls;
 	calls.onEnd = [this, batch = _batch.batch, size = _batch.orders.size(), endpoint = _batch.endpoint.id,
 				   pool = _batch.pool, now](const CallEnd& _end)
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -69,7 +69,7 @@
 		relay = ++this->lastRelay;
 		this->pending.emplace(relay, Pending{_thread, _issuer.node, _request.ticket, std::move(_sink)});
 	}
-	_request.relay = relay;
+	_request.relayId = relay;
 	this->send(_issuer.node, _request);
 	this->pool.after(_thread, _timeout, [this, relay] { this->fail(relay); });
 }
@@ -98,7 +98,7 @@
 
 void Relay::onRequest(const std::string& _peer, const RelayRequest& _request)
 {
-	auto sink = std::make_shared<PeerSink>(_peer, _request.relay, this->send);
+	auto sink = std::make_shared<PeerSink>(_peer, _request.relayId, this->send);
 	const auto ticket = ticketFromText(_request.ticket);
 	if (!ticket.ok())
 	{
@@ -106,7 +106,7 @@
 		return;
 	}
 	std::optional<Incarnation> elsewhere;
-	if (_request.kind == RelayKind::Look)
+	if (_request.kind == RelayKind::Query)
 	{
 		elsewhere = this->traffic.look(*ticket, _request.workspace, sink);
 	}
@@ -143,7 +143,7 @@
 void Relay::onToken(const RelayToken& _token)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	const auto found = this->pending.find(_token.relay);
+	const auto found = this->pending.find(_token.relayId);
 	if (found == this->pending.end())
 	{
 		return;
@@ -154,7 +154,7 @@
 
 void Relay::onResult(const RelayResult& _result)
 {
-	const std::optional<Pending> taken = this->take(_result.relay);
+	const std::optional<Pending> taken = this->take(_result.relayId);
 	if (!taken)
 	{
 		return;
--- a/src/secret.cpp
+++ b/src/secret.cpp
@@ -22,9 +22,10 @@
 	return CRYPTO_memcmp(_left.data(), _right.data(), _left.size()) == 0;
 }
 
-std::string nameOfBearer(const std::map<std::string, std::string>& _credentials, const std::string& _authorization)
+std::string authenticateBearer(const std::map<std::string, std::string>& _credentials,
+							   const std::string& _authorization)
 {
-	const std::string credential = bearerOf(_authorization);
+	const std::string credential = bearerToken(_authorization);
 	std::string name;
 	for (const auto& entry : _credentials)
 	{
@@ -36,7 +37,7 @@
 	return name;
 }
 
-std::string bearerOf(const std::string& _authorization)
+std::string bearerToken(const std::string& _authorization)
 {
 	static const std::string s_scheme = "Bearer ";
 	if (_authorization.compare(0, s_scheme.size(), s_scheme) != 0)
--- a/src/secret.h
+++ b/src/secret.h
@@ -22,10 +22,11 @@
 /// @param[in] _authorization Value of the header Authorization.
 /// @returns Name of the one whose credential it is, or an empty string. Each credential is compared, so that the time
 /// does not tell which one was near.
-std::string nameOfBearer(const std::map<std::string, std::string>& _credentials, const std::string& _authorization);
+std::string authenticateBearer(const std::map<std::string, std::string>& _credentials,
+							   const std::string& _authorization);
 
 /// @returns The credential of a header "Authorization: Bearer CREDENTIAL", or an empty string.
-std::string bearerOf(const std::string& _authorization);
+std::string bearerToken(const std::string& _authorization);
 
 } // namespace roadferry
 
--- a/src/stage_call.cpp
+++ b/src/stage_call.cpp
@@ -132,7 +132,7 @@
 			return result;
 		}
 		result.end = AttemptInterrupted{};
-		if (_end.result == CallResult::Cut)
+		if (_end.result == CallResult::Interrupted)
 		{
 			return result;
 		}
@@ -211,7 +211,7 @@
 	CallSpec call;
 	call.address = _spec.attempt.address;
 	call.timeout = _spec.timeout;
-	call.fresh = _spec.attempt.atMostOnce;
+	call.forceNewConnection = _spec.attempt.atMostOnce;
 	call.request.method = "POST";
 	call.request.target = "/v1/run";
 	call.request.headers = {{"Content-Type", "application/json"}, {"traceparent", _spec.trace.header()}};
--- a/src/standin_balancer.cpp
+++ b/src/standin_balancer.cpp
@@ -136,7 +136,7 @@
 		spec.address = backend.address;
 		spec.request.target = "/ready";
 		spec.timeout = kCheckTimeout;
-		spec.fresh = true;
+		spec.forceNewConnection = true;
 		CallHandlers handlers;
 		handlers.onEnd = [self = this->shared_from_this(), _index](const CallEnd& _end)
 		{
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -133,7 +133,7 @@
 			_run->reply->send(jsonResponse(503, QJsonObject{{"not_begun", true}}));
 			return;
 		}
-		_run->reply->onGone([_run] { _run->gone = true; });
+		_run->reply->onDisconnect([_run] { _run->gone = true; });
 		if (this->running >= this->settings.slots)
 		{
 			this->waiting.push_back(_run);
--- a/tests/deployment.cpp
+++ b/tests/deployment.cpp
@@ -56,7 +56,7 @@
 	spec.request.body = _body;
 	spec.request.headers = {{"Authorization", "Bearer " + _credential}};
 	spec.timeout = kCallTimeout;
-	spec.fresh = true;
+	spec.forceNewConnection = true;
 	return spec;
 }
 
--- a/tests/silent_proxy.h
+++ b/tests/silent_proxy.h
@@ -43,12 +43,12 @@
 
 	~SilentProxy()
 	{
-		this->ended = true;
+		this->stopping = true;
 		this->thread.join();
 		for (const Pair& pair : this->pairs)
 		{
-			::close(pair.inner);
-			::close(pair.outer);
+			::close(pair.serverSocket);
+			::close(pair.clientSocket);
 		}
 		::close(this->listener);
 	}
@@ -62,19 +62,19 @@
 	}
 
 	/// From now on nothing passes on the connections that are open.
-	void silence()
+	void silenceOpenConnections()
 	{
-		this->silenceAsked = true;
-		while (this->silenceAsked)
+		this->silenceRequested = true;
+		while (this->silenceRequested)
 		{
 			std::this_thread::yield();
 		}
 	}
 
 	/// From now on nothing passes on any connection, new ones included.
-	void silenceForGood()
+	void silenceAll()
 	{
-		this->silent = true;
+		this->allSilent = true;
 	}
 
 	[[nodiscard]] std::size_t accepted() const
@@ -88,8 +88,8 @@
 	/// One connection and the one that it is forwarded on.
 	struct Pair
 	{
-		int outer = -1;
-		int inner = -1;
+		int clientSocket = -1;
+		int serverSocket = -1;
 		bool silent = false;
 	};
 
@@ -105,10 +105,10 @@
 	void accept()
 	{
 		Pair pair;
-		pair.outer = ::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC);
-		pair.inner = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+		pair.clientSocket = ::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC);
+		pair.serverSocket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 		sockaddr_in address = loopback(this->target);
-		::connect(pair.inner, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+		::connect(pair.serverSocket, reinterpret_cast<sockaddr*>(&address), sizeof(address));
 		this->pairs.push_back(pair);
 		this->acceptedCount += 1;
 	}
@@ -127,36 +127,36 @@
 
 	void run()
 	{
-		while (!this->ended)
+		while (!this->stopping)
 		{
-			std::vector<pollfd> waits = {{this->listener, POLLIN, 0}};
+			std::vector<pollfd> pollEntries = {{this->listener, POLLIN, 0}};
 			for (const Pair& pair : this->pairs)
 			{
-				waits.push_back({pair.outer, POLLIN, 0});
-				waits.push_back({pair.inner, POLLIN, 0});
+				pollEntries.push_back({pair.clientSocket, POLLIN, 0});
+				pollEntries.push_back({pair.serverSocket, POLLIN, 0});
 			}
-			::poll(waits.data(), waits.size(), kPollMs);
-			if (this->silenceAsked || this->silent)
+			::poll(pollEntries.data(), pollEntries.size(), kPollMs);
+			if (this->silenceRequested || this->allSilent)
 			{
 				for (Pair& pair : this->pairs)
 				{
 					pair.silent = true;
 				}
-				this->silenceAsked = false;
+				this->silenceRequested = false;
 			}
-			if ((waits[0].revents & POLLIN) != 0)
+			if ((pollEntries[0].revents & POLLIN) != 0)
 			{
 				this->accept();
 			}
 			this->pairs.remove_if(
 				[](const Pair& _pair)
 				{
-					const bool open = forward(_pair.outer, _pair.inner, _pair.silent) &&
-									  forward(_pair.inner, _pair.outer, _pair.silent);
+					const bool open = forward(_pair.clientSocket, _pair.serverSocket, _pair.silent) &&
+									  forward(_pair.serverSocket, _pair.clientSocket, _pair.silent);
 					if (!open)
 					{
-						::close(_pair.outer);
-						::close(_pair.inner);
+						::close(_pair.clientSocket);
+						::close(_pair.serverSocket);
 					}
 					return !open;
 				});
@@ -167,9 +167,9 @@
 	std::uint16_t port = 0;
 	int listener = -1;
 	std::list<Pair> pairs;
-	std::atomic<bool> ended{false};
-	std::atomic<bool> silenceAsked{false};
-	std::atomic<bool> silent{false}; ///< All connections, for good.
+	std::atomic<bool> stopping{false};
+	std::atomic<bool> silenceRequested{false};
+	std::atomic<bool> allSilent{false}; ///< All connections, for good.
 	std::atomic<std::size_t> acceptedCount{0};
 	std::thread thread;
 };
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -30,7 +30,7 @@
 constexpr std::int64_t kTimeout = 10'000'000;
 
 /// Holds up the calling thread.
-void passTime(std::chrono::milliseconds _time)
+void sleepFor(std::chrono::milliseconds _time)
 {
 	std::promise<void> never;
 	never.get_future().wait_for(_time);
@@ -74,7 +74,7 @@
 		return text;
 	}
 
-	static void say(int _socket, const std::string& _text)
+	static void sendText(int _socket, const std::string& _text)
 	{
 		send(_socket, _text.data(), _text.size(), MSG_NOSIGNAL);
 	}
@@ -108,41 +108,42 @@
 };
 
 /// A client whose calls are waited for.
-class Caller
+class BlockingClient
 {
 public:
-	/// @param[in] _wanted Answers under another id are read past.
-	CallEnd call(const std::string& _address, const std::string& _wanted = {}, const std::string& _body = {},
+	/// @param[in] _expectedId Answers under another id are read past.
+	CallEnd call(const std::string& _address, const std::string& _expectedId = {}, const std::string& _body = {},
 				 std::function<void(const std::string&)> _onData = {})
 	{
 		std::promise<CallEnd> promise;
 		CallSpec spec;
 		spec.address = _address;
 		spec.timeout = this->timeout;
-		spec.timeoutOnSilence = this->timeoutOnSilence;
-		spec.keepAtMost = this->keepAtMost;
+		spec.restartTimeoutOnData = this->restartTimeoutOnData;
+		spec.maxIdleConnections = this->maxIdleConnections;
 		spec.request.method = _body.empty() ? "GET" : "POST";
 		spec.request.body = _body;
 		this->pool.post(0,
 						[&]
 						{
 							CallHandlers handlers;
-							handlers.onHead = [_wanted](unsigned, const HttpHeaders& _headers)
+							handlers.onHead = [_expectedId](unsigned, const HttpHeaders& _headers)
 							{
 								const std::string id = headerValue(_headers, "X-Id");
-								return _wanted.empty() || id == _wanted ? HeadVerdict::Take : HeadVerdict::Skip;
+								return _expectedId.empty() || id == _expectedId ? HeadVerdict::Accept
+																				: HeadVerdict::Skip;
 							};
 							handlers.onData = _onData;
 							handlers.onEnd = [&](const CallEnd& _end) { promise.set_value(_end); };
 							this->client.call(0, spec, std::move(handlers));
 						});
-		this->pool.post(0, [pause = this->pauseAfterSending] { passTime(pause); });
+		this->pool.post(0, [pause = this->pauseAfterSending] { sleepFor(pause); });
 		return promise.get_future().get();
 	}
 
-	std::size_t keepAtMost = CallSpec{}.keepAtMost;
+	std::size_t maxIdleConnections = CallSpec{}.maxIdleConnections;
 	std::int64_t timeout = kTimeout; ///< Microseconds.
-	bool timeoutOnSilence = false;
+	bool restartTimeoutOnData = false;
 	std::chrono::milliseconds pauseAfterSending{0}; ///< In which the client's thread does not run.
 
 private:
@@ -150,7 +151,7 @@
 	HttpClient client{pool};
 };
 
-std::string answer(const std::string& _id, const std::string& _body, const std::string& _more = {})
+std::string makeResponse(const std::string& _id, const std::string& _body, const std::string& _more = {})
 {
 	return "HTTP/1.1 200 OK\r\nX-Id: " + _id + "\r\n" + _more + "Content-Length: " + std::to_string(_body.size()) +
 		   "\r\n\r\n" + _body;
@@ -188,139 +189,140 @@
 
 } // namespace
 
-Test(client, events_of_a_stream_are_handed_on_as_they_come)
+Test(client, stream_data_is_delivered_as_it_arrives)
 {
 	std::mutex lock;
 	std::condition_variable changed;
-	std::string got;
+	std::string received;
 	ScriptServer server(
 		[&](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
+			ScriptServer::sendText(_socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
 			std::unique_lock<std::mutex> guard(lock);
 			// The second part is sent only when the first has been handed on.
-			const bool seen = changed.wait_for(guard, std::chrono::seconds(10), [&] { return got == "one"; });
+			const bool seen = changed.wait_for(guard, std::chrono::seconds(10), [&] { return received == "one"; });
 			guard.unlock();
-			ScriptServer::say(_socket, seen ? "3\r\ntwo\r\n0\r\n\r\n" : "4\r\nlate\r\n0\r\n\r\n");
+			ScriptServer::sendText(_socket, seen ? "3\r\ntwo\r\n0\r\n\r\n" : "4\r\nlate\r\n0\r\n\r\n");
 		});
-	const CallEnd end = Caller().call(server.address, {}, {},
-									  [&](const std::string& _bytes)
-									  {
-										  const std::lock_guard<std::mutex> guard(lock);
-										  got += _bytes;
-										  changed.notify_all();
-									  });
+	const CallEnd end = BlockingClient().call(server.address, {}, {},
+											  [&](const std::string& _bytes)
+											  {
+												  const std::lock_guard<std::mutex> guard(lock);
+												  received += _bytes;
+												  changed.notify_all();
+											  });
 	cr_assert(end.result == CallResult::Complete);
-	cr_assert(got == "onetwo", "%s", got.c_str());
+	cr_assert(received == "onetwo", "%s", received.c_str());
 }
 
-Test(client, answer_to_another_request_is_read_past)
+Test(client, response_to_another_request_is_skipped)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, answer("old", "stale") + answer("new", "fresh"));
+			ScriptServer::sendText(_socket, makeResponse("old", "stale") + makeResponse("new", "fresh"));
 			ScriptServer::readHead(_socket);
 		});
-	const CallEnd end = Caller().call(server.address, "new");
+	const CallEnd end = BlockingClient().call(server.address, "new");
 	cr_assert(end.result == CallResult::Complete);
 	cr_assert(end.body == "fresh");
 }
 
-Test(client, connection_with_bytes_behind_the_answer_is_not_used_again)
+Test(client, connection_with_bytes_after_the_response_is_not_reused)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, answer("a", "one") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra");
+			ScriptServer::sendText(_socket,
+								   makeResponse("a", "one") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra");
 		});
-	Caller caller;
-	cr_assert(caller.call(server.address).body == "one");
-	cr_assert(caller.call(server.address).body == "one");
+	BlockingClient client;
+	cr_assert(client.call(server.address).body == "one");
+	cr_assert(client.call(server.address).body == "one");
 	cr_assert_eq(server.connections, 2);
 }
 
-Test(client, no_more_connections_are_kept_than_told)
+Test(client, idle_connections_are_limited)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			while (!ScriptServer::readHead(_socket).empty())
 			{
-				ScriptServer::say(_socket, answer("a", "one"));
+				ScriptServer::sendText(_socket, makeResponse("a", "one"));
 			}
 		});
-	Caller caller;
-	caller.call(server.address);
-	caller.call(server.address);
+	BlockingClient client;
+	client.call(server.address);
+	client.call(server.address);
 	cr_assert_eq(server.connections, 1);
-	caller.keepAtMost = 0;
-	caller.call(server.address); // Over the one that is kept, which is closed behind it.
+	client.maxIdleConnections = 0;
+	client.call(server.address); // Over the one that is kept, which is closed behind it.
 	cr_assert_eq(server.connections, 1);
-	caller.call(server.address);
-	caller.call(server.address);
+	client.call(server.address);
+	client.call(server.address);
 	cr_assert_eq(server.connections, 3);
 }
 
-Test(client, idle_connections_of_all_nodes_leave_room_for_new_ones)
+Test(client, idle_connections_of_all_nodes_leave_capacity_for_requests)
 {
 	PoolSpec pool;
-	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.keepAtMost);
-	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.keepAtMost);
+	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.maxIdleConnections);
+	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.maxIdleConnections);
 	pool.maxConnections = 110;
 	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // 80 nodes with one each would leave 30 of 110 for requests.
 	cr_assert_eq(idleConnectionsOf(&pool, 7), 7);
 	pool.maxConnections = 100'000;
-	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.keepAtMost);
+	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.maxIdleConnections);
 }
 
-Test(client, connection_that_the_server_is_about_to_close_is_not_used_again)
+Test(client, connection_past_its_keep_alive_timeout_is_not_reused)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, answer("a", "one", "Keep-Alive: timeout=0\r\n"));
+			ScriptServer::sendText(_socket, makeResponse("a", "one", "Keep-Alive: timeout=0\r\n"));
 		});
-	Caller caller;
-	cr_assert(caller.call(server.address).result == CallResult::Complete);
-	cr_assert(caller.call(server.address).result == CallResult::Complete);
+	BlockingClient client;
+	cr_assert(client.call(server.address).result == CallResult::Complete);
+	cr_assert(client.call(server.address).result == CallResult::Complete);
 	cr_assert_eq(server.connections, 2);
 }
 
-Test(client, early_answer_to_a_long_body_is_taken_and_the_connection_left)
+Test(client, early_response_to_a_long_body_is_accepted_and_its_connection_closed)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, answer("a", "early"));
+			ScriptServer::sendText(_socket, makeResponse("a", "early"));
 			char byte = 0;
 			while (recv(_socket, &byte, 1, MSG_PEEK) == 1 && recv(_socket, &byte, 1, 0) == 1)
 			{
 			}
 		});
-	Caller caller;
-	const CallEnd end = caller.call(server.address, {}, std::string(32 * 1024 * 1024, 'x'));
+	BlockingClient client;
+	const CallEnd end = client.call(server.address, {}, std::string(32 * 1024 * 1024, 'x'));
 	cr_assert(end.result == CallResult::Complete, "%s", end.error.c_str());
 	cr_assert(end.body == "early");
 	// The connection is in the middle of the first request: the next one needs another.
-	cr_assert(caller.call(server.address).body == "early");
+	cr_assert(client.call(server.address).body == "early");
 	cr_assert_eq(server.connections, 2);
 }
 
-Test(client, answer_without_length_is_whole_when_closed_and_cut_when_reset)
+Test(client, response_without_length_is_complete_on_close_and_interrupted_on_reset)
 {
-	bool broken = false;
+	bool resetConnection = false;
 	ScriptServer server(
 		[&](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
-			if (broken)
+			ScriptServer::sendText(_socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
+			if (resetConnection)
 			{
 				// The bytes are there before the reset: the client reads them, and then its error.
 				char byte = 0;
@@ -328,17 +330,17 @@
 				ScriptServer::reset(_socket);
 			}
 		});
-	Caller caller;
-	const CallEnd whole = caller.call(server.address);
-	cr_assert(whole.result == CallResult::Complete);
-	cr_assert(whole.body == "to the end");
-	broken = true;
-	cr_assert(caller.call(server.address).result == CallResult::Cut);
+	BlockingClient client;
+	const CallEnd complete = client.call(server.address);
+	cr_assert(complete.result == CallResult::Complete);
+	cr_assert(complete.body == "to the end");
+	resetConnection = true;
+	cr_assert(client.call(server.address).result == CallResult::Interrupted);
 }
 
 /// Guards against a process that did not run and takes that for the silence of the other side: it would ask for
 /// everything anew, and again, on a machine that has too much to do.
-Test(client, own_pause_is_not_taken_for_silence)
+Test(client, stall_of_the_client_thread_is_not_a_timeout)
 {
 	constexpr std::size_t kBodyBytes = 400'000;
 	ScriptServer server(
@@ -346,59 +348,59 @@
 		{
 			ScriptServer::readHead(_socket);
 			const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBodyBytes) + "\r\n\r\n";
-			ScriptServer::say(_socket, head + std::string(kBodyBytes, 'x'));
+			ScriptServer::sendText(_socket, head + std::string(kBodyBytes, 'x'));
 		});
-	Caller caller;
-	caller.timeout = 300'000;
-	caller.timeoutOnSilence = true;
-	caller.pauseAfterSending = std::chrono::milliseconds(600);
-	const CallEnd end = caller.call(server.address);
+	BlockingClient client;
+	client.timeout = 300'000;
+	client.restartTimeoutOnData = true;
+	client.pauseAfterSending = std::chrono::milliseconds(600);
+	const CallEnd end = client.call(server.address);
 	cr_assert(end.result == CallResult::Complete, "%s", end.error.c_str());
 	cr_assert_eq(end.body.size(), kBodyBytes);
 }
 
 /// Guards against a limit on a whole answer, however much of it has come: over a narrow link it would never come whole.
-Test(client, long_answer_that_goes_on_coming_is_awaited)
+Test(client, timeout_restarts_while_data_arrives)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n");
+			ScriptServer::sendText(_socket, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n");
 			for (int byte = 0; byte < 10; ++byte)
 			{
-				passTime(std::chrono::milliseconds(100));
-				ScriptServer::say(_socket, "x");
+				sleepFor(std::chrono::milliseconds(100));
+				ScriptServer::sendText(_socket, "x");
 			}
 		});
-	Caller caller;
-	caller.timeout = 400'000;
-	caller.timeoutOnSilence = true;
-	cr_assert(caller.call(server.address).result == CallResult::Complete);
+	BlockingClient client;
+	client.timeout = 400'000;
+	client.restartTimeoutOnData = true;
+	cr_assert(client.call(server.address).result == CallResult::Complete);
 }
 
-Test(client, rubbish_instead_of_an_answer_is_a_cut)
+Test(client, malformed_response_is_interrupted)
 {
 	ScriptServer server(
 		[](int _socket)
 		{
 			ScriptServer::readHead(_socket);
-			ScriptServer::say(_socket, "\x01\x02 no protocol at all\r\n\r\n");
+			ScriptServer::sendText(_socket, "\x01\x02 no protocol at all\r\n\r\n");
 		});
-	cr_assert(Caller().call(server.address).result == CallResult::Cut);
+	cr_assert(BlockingClient().call(server.address).result == CallResult::Interrupted);
 }
 
-Test(client, dead_port_means_that_nothing_was_sent)
+Test(client, refused_connection_is_not_sent)
 {
 	std::string address;
 	{
 		ScriptServer server([](int) {});
 		address = server.address;
 	}
-	cr_assert(Caller().call(address).result == CallResult::NotSent);
+	cr_assert(BlockingClient().call(address).result == CallResult::NotSent);
 }
 
-Test(server, doubtful_framing_is_refused_and_nothing_behind_it_is_served)
+Test(server, ambiguous_framing_is_rejected_and_nothing_after_it_is_served)
 {
 	const std::string hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
 	const std::vector<std::string> heads = {
@@ -419,7 +421,7 @@
 	cr_assert_eq(server.served, 0);
 }
 
-Test(server, head_that_does_not_end_in_time_is_answered_with_408)
+Test(server, incomplete_head_is_answered_with_408_after_the_timeout)
 {
 	HttpServerLimits limits;
 	limits.headerTimeout = 50'000;
@@ -428,7 +430,7 @@
 	cr_assert(reply.find("HTTP/1.1 408") == 0, "%s", reply.c_str());
 }
 
-Test(server, limits_can_change_while_it_runs)
+Test(server, limits_can_change_at_run_time)
 {
 	EchoServer server;
 	HttpServerLimits limits;
@@ -438,7 +440,7 @@
 	cr_assert(Deployment::sendRaw(server.address, body).find("HTTP/1.1 413") == 0);
 }
 
-Test(events, cutting_does_not_depend_on_how_the_bytes_came)
+Test(events, events_do_not_depend_on_how_the_bytes_are_split)
 {
 	checkHistories("events",
 				   []
@@ -456,16 +458,16 @@
 					   }
 					   const std::string part = *rc::gen::arbitrary<bool>() ? "id: 9\nda" : "";
 					   text += part;
-					   EventSplitter cutter;
-					   std::vector<std::string> got;
+					   EventSplitter splitter;
+					   std::vector<std::string> received;
 					   while (!text.empty())
 					   {
 						   const std::size_t size = *rc::gen::inRange<std::size_t>(1, text.size() + 1);
-						   const auto events = cutter.take(text.substr(0, size));
-						   got.insert(got.end(), events.begin(), events.end());
+						   const auto events = splitter.take(text.substr(0, size));
+						   received.insert(received.end(), events.begin(), events.end());
 						   text.erase(0, size);
 					   }
-					   RC_ASSERT(got == expected);
-					   RC_ASSERT(cutter.hasPart() == !part.empty());
+					   RC_ASSERT(received == expected);
+					   RC_ASSERT(splitter.hasPart() == !part.empty());
 				   });
 }
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -30,17 +30,17 @@
 	return {RelayRequest{1, RelayKind::Cancel, "t", "hall", "mark", std::string("\0\xff{", 3), "00-a-b-01"},
 			RelayToken{1, 2, "token"},
 			RelayResult{1, 503, 200'000, "{}"},
-			TableAsk{5},
-			TableGive{"{}"},
-			LeavingWord{{"engine-1", "engine-2"}},
+			TableRequest{5},
+			TableResponse{"{}"},
+			LeavingNotice{{"engine-1", "engine-2"}},
 			farewell,
 			gossip,
 			DemandReport{true, {{"hall", 4}}},
 			ShareGrant{{{"hall", 4}}},
-			RoutesAsk{7, true},
-			RoutesGive{std::string("\0{", 2),
-					   {ListedEndpoint{"e", 5, Endpoint{"e-1", "10.0.0.3:80", "pool", "north", 6, true}, 1'800}},
-					   {"e-1", "e-2"}},
+			RoutesRequest{7, true},
+			RoutesResponse{std::string("\0{", 2),
+						   {ListedEndpoint{"e", 5, Endpoint{"e-1", "10.0.0.3:80", "pool", "north", 6, true}, 1'800}},
+						   {"e-1", "e-2"}},
 			PieceSubmit{"pool",
 						{PieceOrder{5, "abc", {1, 2}, "key", {"10.0.0.3:80/1"}, 900'000, 400'000, 1, 60'000, "north"}},
 						AdmissionTerms{300'000, true, {PoolDemand{"pool", 3}, PoolDemand{"other", 8}}}},
@@ -64,7 +64,7 @@
 
 } // namespace
 
-Test(messages, every_kind_reads_back_as_it_was)
+Test(messages, every_type_survives_a_round_trip)
 {
 	for (const PeerMessage& message : samples())
 	{
@@ -74,7 +74,7 @@
 	}
 }
 
-Test(messages, damaged_bytes_give_an_error_or_a_message)
+Test(messages, corrupted_bytes_give_an_error_or_a_message)
 {
 	const std::vector<PeerMessage> all = samples();
 	checkHistories("peer messages",
@@ -88,12 +88,12 @@
 					   }
 					   bytes.resize(*rc::gen::inRange<std::size_t>(0, bytes.size() + 1));
 					   const auto read = decode(bytes);
-					   const bool named = read.ok() || read.status().message().find("peer message: ") == 0;
-					   RC_ASSERT(named);
+					   const bool hasPrefix = read.ok() || read.status().message().find("peer message: ") == 0;
+					   RC_ASSERT(hasPrefix);
 				   });
 }
 
-Test(messages, packed_records_read_back_and_damaged_ones_give_an_error_or_a_record)
+Test(messages, packed_records_round_trip_and_corrupted_ones_give_an_error_or_a_record)
 {
 	checkHistories("packed records",
 				   []
@@ -108,7 +108,7 @@
 				   });
 }
 
-Test(messages, bodies_and_spreadsheets_of_rubbish_are_refused)
+Test(messages, malformed_bodies_and_spreadsheets_give_an_error)
 {
 	checkHistories("bodies",
 				   []
@@ -116,17 +116,17 @@
 					   std::string body = R"({"input":{"a":1},"deadline_ms":3000,"max_tokens":5,"stream":true})";
 					   body[*rc::gen::inRange<std::size_t>(0, body.size())] = *rc::gen::arbitrary<char>();
 					   const auto submission = submissionFromBody("hall", "mark", body);
-					   const bool told = submission.ok() || !submission.status().message().empty();
-					   RC_ASSERT(told);
+					   const bool hasMessage = submission.ok() || !submission.status().message().empty();
+					   RC_ASSERT(hasMessage);
 					   std::string csv = "kind,name,field,value\nworkspace,hall,weight,2\nstage,e,pool,p\n";
 					   csv[*rc::gen::inRange<std::size_t>(0, csv.size())] = *rc::gen::arbitrary<char>();
 					   const auto rows = rowsFromCsv(csv);
-					   const bool explained = rows.ok() || !rows.status().message().empty();
-					   RC_ASSERT(explained);
+					   const bool rowsHaveMessage = rows.ok() || !rows.status().message().empty();
+					   RC_ASSERT(rowsHaveMessage);
 				   });
 }
 
-Test(messages, table_goes_through_a_spreadsheet_unchanged)
+Test(messages, table_survives_a_csv_round_trip)
 {
 	Table table;
 	const auto put = [](const Row& _row) { return RowChange{keyOf(_row), 0, _row}; };
--- a/tests/test_peers.cpp
+++ b/tests/test_peers.cpp
@@ -46,7 +46,7 @@
 	Node(const Node&) = delete;
 	Node& operator=(const Node&) = delete;
 
-	bool heard(const std::string& _message)
+	bool hasReceived(const std::string& _message)
 	{
 		const std::lock_guard<std::mutex> lock(this->mutex);
 		return std::find(this->messages.begin(), this->messages.end(), _message) != this->messages.end();
@@ -68,26 +68,26 @@
 } // namespace
 
 /// Guards against messages that vanish for good in a connection that fell silent without being reset.
-Test(peers, connection_that_falls_silent_is_replaced)
+Test(peers, silent_connection_is_replaced)
 {
 	Node receiver;
 	Node sender;
 	SilentProxy proxy(receiver.port());
 	sender.link.send(proxy.address(), "before");
-	Deployment::await("the first message", [&] { return receiver.heard("before"); });
-	proxy.silence();
+	Deployment::await("the first message", [&] { return receiver.hasReceived("before"); });
+	proxy.silenceOpenConnections();
 	Deployment::await("a message on another connection",
 					  [&]
 					  {
 						  sender.link.send(proxy.address(), "after");
-						  return receiver.heard("after");
+						  return receiver.hasReceived("after");
 					  });
 	cr_assert_geq(proxy.accepted(), 2);
 	cr_assert_geq(sender.closes, 1);
 }
 
 /// Guards against a connection that is given up though the other node lives and only has nothing to say.
-Test(peers, one_sided_connection_stays_open)
+Test(peers, one_way_traffic_keeps_the_connection_open)
 {
 	Node receiver;
 	Node sender;
@@ -98,7 +98,7 @@
 					  [&]
 					  {
 						  sender.link.send(proxy.address(), std::to_string(++sent));
-						  return monotonicNow() > until && receiver.heard(std::to_string(sent - 1));
+						  return monotonicNow() > until && receiver.hasReceived(std::to_string(sent - 1));
 					  });
 	cr_assert_eq(proxy.accepted(), 1);
 	cr_assert_eq(sender.closes, 0);
--- a/tools/roadferry_load.cpp
+++ b/tools/roadferry_load.cpp
@@ -259,7 +259,7 @@
 		spec.request.body = _body;
 		spec.request.headers = {{"Authorization", "Bearer " + _workload.credential}};
 		spec.timeout = _workload.deadlineMs * 1'000 + kGrace;
-		spec.fresh = true;
+		spec.forceNewConnection = true;
 		CallHandlers handlers;
 		handlers.onEnd = std::move(_done);
 		this->client.call(0, std::move(spec), std::move(handlers));
