--- a/src/http_client.cpp
+++ b/src/http_client.cpp
@@ -6,8 +6,8 @@
 /// @file
 /// HTTP client on Boost.Beast. Compiled as C++17.
 ///
-/// QNetworkAccessManager is not used for calls to endpoints, since it sends a POST again by itself when a kept
-/// connection closes under it (docs/design/at-most-once.md).
+/// QNetworkAccessManager is not used for calls to endpoints, since it resends a POST by itself when a reused connection
+/// is closed during the request (docs/design/at-most-once.md).
 
 #include "http_client.h"
 
@@ -47,18 +47,19 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kLateTimerThreshold{100}; ///< A timer that is later than this did not run in time.
-constexpr int kMaxLateTimeouts = 3;                           ///< That one call outlasts.
-constexpr int kKeepaliveSeconds = 1;                          ///< Without a byte, and between two probes.
-constexpr int kKeepaliveProbes = 2;                           ///< Without an answer.
-constexpr int kUserTimeoutMs = 2'500;                         ///< That bytes may wait for the other machine.
-constexpr int kMaxSkippedResponses = 4; ///< Responses to other requests that are read past on one connection.
-constexpr std::chrono::seconds kDefaultIdleLifetime{
-	30}; ///< For servers that do not say how long they keep connections.
-constexpr std::chrono::milliseconds kIdleExpiryMargin{
-	300}; ///< Before the server's own limit, so that closes rarely cross.
-
-/// A connection that is kept for the next call.
+/// A timer that fires at least this late shows that the process was not running.
+constexpr std::chrono::milliseconds kLateTimerThreshold{100};
+constexpr int kMaxLateTimeouts = 3;     ///< Maximum restarts of the timeout of one call.
+constexpr int kKeepaliveSeconds = 1;    ///< Idle time before the first TCP keepalive probe, and between two probes.
+constexpr int kKeepaliveProbes = 2;     ///< Unanswered probes until the connection is closed.
+constexpr int kUserTimeoutMs = 2'500;   ///< Time that sent data may stay unacknowledged.
+constexpr int kMaxSkippedResponses = 4; ///< Maximum responses to other requests that one call discards.
+/// Lifetime of an idle connection if the server announces none.
+constexpr std::chrono::seconds kDefaultIdleLifetime{30};
+/// Idle connections expire this long before the server's limit, so that a request rarely meets a close by the server.
+constexpr std::chrono::milliseconds kIdleExpiryMargin{300};
+
+/// Idle connection for reuse by a later call.
 struct IdleSocket
 {
 	std::unique_ptr<Tcp::socket> socket;
@@ -67,7 +68,7 @@
 
 using IdleSockets = std::unordered_map<std::string, std::vector<IdleSocket>>;
 
-/// @returns How long a server keeps an idle connection, as it said in Keep-Alive (RFC 2068, 19.7.1.1).
+/// @returns How long an idle connection may be reused, by the server's Keep-Alive header (RFC 2068, 19.7.1.1).
 Clock::duration idleLifetime(const std::string& _keepAlive)
 {
 	const std::size_t at = _keepAlive.find("timeout=");
@@ -79,7 +80,7 @@
 	return std::max<Clock::duration>(Clock::duration::zero(), std::chrono::seconds(seconds) - kIdleExpiryMargin);
 }
 
-/// @returns Whether a kept connection is still open and silent.
+/// @returns Whether an idle connection is open and has no unread data.
 bool isReusable(Tcp::socket& _socket)
 {
 	char byte = 0;
@@ -122,7 +123,8 @@
 	return true;
 }
 
-/// Probes of the kernel's find out that nobody is at the other end, whether or not anything is under way.
+/// Enables or disables TCP keepalive and the TCP user timeout, which detect a remote host that is down whether or not
+/// data is being sent.
 void setKeepalive(Tcp::socket& _socket, bool _on)
 {
 	const int socket = _socket.native_handle();
@@ -193,7 +195,7 @@
 	{
 		this->parser.emplace();
 		this->parser->body_limit(this->spec.maxResponseBytes);
-		// An eager parser asks for more bytes until the message ends, and would keep back what has come of a stream.
+		// An eager parser reads until the end of the message and would delay the data of a stream.
 		this->parser->eager(!this->handlers.onData);
 	}
 
@@ -210,7 +212,8 @@
 			});
 	}
 
-	/// Says what the limit ran out on: an answer that was on its way, or a process that did not run itself.
+	/// Ends the call, or restarts the timeout if this process was not running when it expired. The error tells a slow
+	/// response from a stalled process.
 	void onTimeout()
 	{
 		const auto delay = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - this->timer.expiry());
@@ -230,7 +233,7 @@
 		Tcp::endpoint endpoint;
 		if (!parseAddress(this->spec.address, endpoint))
 		{
-			// Never from inside start(), where the caller does not hold the call yet.
+			// Posted, since onEnd must not be called from start(), before the caller has the call.
 			asio::post(this->context, [self = this->shared_from_this()] { self->fail("address is not IP:port"); });
 			return;
 		}
@@ -272,7 +275,7 @@
 			});
 	}
 
-	/// Writes the request and reads at the same time, since a server may answer before it has read a long body.
+	/// Writes the request and reads in parallel, since a server may respond before it has read a long body.
 	void write()
 	{
 		this->maybeSent = true;
@@ -296,7 +299,7 @@
 			this->maybeSent = false;
 			this->fail(_error.message());
 		}
-		// Otherwise an answer may be on its way; reading says so.
+		// Otherwise a response may still arrive; the read reports it or fails.
 	}
 
 	void read()
@@ -362,7 +365,7 @@
 			informational || handler(this->parser->get().result_int(), this->headers()) == HeadVerdict::Skip;
 	}
 
-	/// Goes on to the response behind one that belongs to another request.
+	/// Reads the next response after one that belongs to another request.
 	void readNextResponse()
 	{
 		this->skippedResponses += 1;
@@ -406,7 +409,7 @@
 		end.status = this->parser->get().result_int();
 		end.headers = this->headers();
 		end.body = std::move(this->parser->get().body());
-		// A request that was not written whole leaves the connection in the middle of it.
+		// A connection on which the request is only partly written cannot be reused.
 		const bool requestWritten = !this->writing && !this->writeFailed;
 		const bool keep = requestWritten && this->parser->get().keep_alive() && this->buffer.size() == 0;
 		auto& sockets = this->idle[this->spec.address];
@@ -463,13 +466,13 @@
 	boost::optional<http::response_parser<http::string_body>> parser;
 	beast::flat_buffer buffer{kReadSize * 4};
 	int skippedResponses = 0;
-	std::size_t receivedBytes = 0; ///< Bytes of responses.
-	int lateTimeouts = 0;          ///< Of this process, in which a timeout ran out.
-	bool maybeSent = false;        ///< Bytes of the request may have left.
-	bool writing = true;           ///< The request is not written whole yet.
-	bool writeFailed = false;      ///< Writing failed.
-	bool headHandled = false;      ///< The head of the response that is being read was looked at.
-	bool skipping = false;         ///< The response that is being read belongs to another request.
+	std::size_t receivedBytes = 0; ///< Bytes of responses, including skipped ones.
+	int lateTimeouts = 0;          ///< Timeouts that fired late and were restarted.
+	bool maybeSent = false;        ///< Bytes of the request may have been sent.
+	bool writing = true;           ///< The request is not completely written yet.
+	bool writeFailed = false;
+	bool headHandled = false; ///< The head of the current response was processed.
+	bool skipping = false;    ///< The current response belongs to another request.
 	bool done = false;
 };
 
@@ -482,7 +485,7 @@
 	}
 
 	IoPool& pool;
-	std::vector<IdleSockets> idle; ///< Kept connections of each thread.
+	std::vector<IdleSockets> idle; ///< Idle connections, by thread.
 };
 
 HttpClient::HttpClient(IoPool& _pool) : impl(std::make_unique<Impl>(_pool))
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// HTTP client that never sends a request twice, and says whether any byte of it may have left.
+/// HTTP client that never resends a request by itself and reports whether any byte of it may have been sent.
 
 #ifndef ROADFERRY_HTTP_CLIENT_H_HEADER_GUARD
 #define ROADFERRY_HTTP_CLIENT_H_HEADER_GUARD
@@ -19,72 +19,73 @@
 namespace roadferry
 {
 
-/// How a call ended.
+/// Result of a call.
 enum class CallResult
 {
 	Complete,   ///< The whole response arrived.
-	NotSent,    ///< No byte of the request left.
-	Interrupted ///< Bytes may have left, and the response did not arrive whole.
+	NotSent,    ///< No byte of the request was sent.
+	Interrupted ///< Bytes may have been sent, and the response is incomplete.
 };
 
-/// End of a call.
+/// Outcome of a call, with the response if there is one.
 struct CallEnd
 {
 	CallResult result = CallResult::NotSent;
 	unsigned status = 0;
 	HttpHeaders headers;
-	std::string body; ///< Empty when the body was handed over piece by piece.
+	std::string body; ///< Empty when the body was passed to CallHandlers::onData.
 	std::string error;
 };
 
-/// What to do with a response whose head has arrived.
+/// Decision on a response whose head has arrived.
 enum class HeadVerdict
 {
-	Accept, ///< It answers this request.
-	Skip    ///< It answers another request, which used the connection before: read past it.
+	Accept, ///< The response belongs to this request.
+	Skip    ///< The response belongs to an earlier request on the connection and is discarded.
 };
 
-/// One call to make.
+/// Parameters of one call.
 struct CallSpec
 {
-	std::string address; ///< IP number and port.
+	std::string address; ///< IP address and port.
 	HttpRequest request;
-	std::int64_t timeout = 0;        ///< Microseconds from now to the end of the response.
-	std::int64_t connectTimeout = 0; ///< Microseconds for opening a connection, 0 for no limit of its own.
-	/// End the call within about 3 s when the other machine is gone or the connection has fallen silent. For calls that
-	/// may be made again: what is merely cut off for a while would still answer.
+	std::int64_t timeout = 0;        ///< Microseconds from the start of the call to the end of the response.
+	std::int64_t connectTimeout = 0; ///< Microseconds to open a connection; 0 for no separate limit.
+	/// Ends the call within about 3 s when the remote host is down or the connection is dead. Only for calls that may
+	/// be repeated, since a host that is unreachable for a short time would still respond.
 	bool detectDeadConnection = false;
-	/// The timeout bounds how long nothing comes while this process runs: bytes that come begin it anew, and so does
-	/// its end when it is noticed late, since then the process itself did not run.
+	/// Restarts the timeout whenever data arrives, so that it limits inactivity and not the whole call. The timeout
+	/// also restarts when its timer fires late, since this process was then not running.
 	bool restartTimeoutOnData = false;
-	bool forceNewConnection =
-		false; ///< Use a connection of its own, so that a kept one that has gone stale cannot cut it.
-	std::size_t maxIdleConnections = 64; ///< Idle connections to this address, this call's own included, that are kept.
+	/// Opens a new connection, so that a stale idle one cannot interrupt the call.
+	bool forceNewConnection = false;
+	/// Maximum idle connections kept to this address, including the connection of this call.
+	std::size_t maxIdleConnections = 64;
 	std::size_t maxResponseBytes = 64 * 1024 * 1024;
 };
 
-/// Called on the call's thread.
+/// Callbacks of a call, invoked on the thread of the call.
 struct CallHandlers
 {
-	/// Head of a final response; where it is not set, every response is taken.
+	/// Receives the head of a final response. If not set, every response is accepted.
 	std::function<HeadVerdict(unsigned _status, const HttpHeaders& _headers)> onHead;
 
-	/// Piece of the body; where it is not set, the body is given with the end.
+	/// Receives the body in parts as it arrives. If not set, the body is in CallEnd.
 	std::function<void(const std::string&)> onData;
 	std::function<void(const CallEnd&)> onEnd;
 };
 
-/// A call under way. Letting go of it does not end it.
+/// A call in progress. Releasing it does not end the call.
 class HttpCall
 {
 public:
 	virtual ~HttpCall() = default;
 
-	/// Closes the connection; onEnd is not called any more. On the call's thread only.
+	/// Closes the connection; onEnd is not called afterwards. Must be called on the thread of the call.
 	virtual void cancel() = 0;
 };
 
-/// Calls endpoints from the threads of a pool, and keeps idle connections of each thread.
+/// Sends requests from the threads of a pool and keeps idle connections for each thread.
 class HttpClient
 {
 public:
@@ -93,7 +94,11 @@
 	HttpClient(const HttpClient&) = delete;
 	HttpClient& operator=(const HttpClient&) = delete;
 
-	/// Begins a call. Must be called on the thread that is named.
+	/// Starts a call.
+	/// @param[in] _thread Index of the thread of the call, which must be the calling thread.
+	/// @param[in] _spec Parameters of the call.
+	/// @param[in] _handlers Callbacks.
+	/// @returns The call in progress.
 	std::shared_ptr<HttpCall> call(std::size_t _thread, CallSpec _spec, CallHandlers _handlers);
 
 private:
--- a/src/http_server.cpp
+++ b/src/http_server.cpp
@@ -39,12 +39,12 @@
 using Error = boost::system::error_code;
 
 constexpr int kHttpVersion = 11;
-constexpr std::int64_t kLingerTimeUs = 1'000'000; ///< Microseconds.
+constexpr std::int64_t kLingerTimeUs = 1'000'000;
 constexpr std::size_t kDiscardSize = 64 * 1024;
 constexpr std::chrono::milliseconds kIdleCheckPeriod{250};
 constexpr std::chrono::milliseconds kIdleTimeoutWhileClosing{1'000};
 
-/// What all connections of a server share.
+/// State shared by all connections of a server.
 struct SharedState
 {
 	std::mutex lock; ///< Guards the limits.
@@ -60,7 +60,7 @@
 	}
 };
 
-/// Head of a response, as text. Headers that are given twice stay two.
+/// Adds headers to a message. A name that is given twice yields two header lines.
 template<class Message>
 void addHeaders(Message& _message, const HttpHeaders& _headers)
 {
@@ -70,8 +70,8 @@
 	}
 }
 
-/// Framing that other servers may read in another way than this one: whoever sends it could hide a second request
-/// behind the first (RFC 9112, 11.2).
+/// @returns Whether other servers may interpret the framing of the message differently. Such framing allows request
+/// smuggling, where a second request is hidden behind the first (RFC 9112, 11.2).
 template<class Message>
 bool hasAmbiguousFraming(const Message& _message)
 {
@@ -227,7 +227,7 @@
 			});
 	}
 
-	/// Waits for the first byte of a request, for as long as a kept connection may be silent.
+	/// Waits for the first byte of a request until the idle timeout.
 	void awaitRequest()
 	{
 		this->limits = this->shared->currentLimits();
@@ -255,7 +255,7 @@
 									 });
 	}
 
-	/// Closes a kept connection that has been silent for too long, sooner during a planned stop.
+	/// Closes the connection at its idle timeout, which is shorter while the server is closing.
 	void checkIdle()
 	{
 		this->timer.expires_after(kIdleCheckPeriod);
@@ -371,7 +371,7 @@
 		this->shared->handler(std::move(request), this->shared_from_this());
 	}
 
-	/// Notices when the caller closes while its request is being worked on.
+	/// Detects that the client closes the connection while its request is processed.
 	void watchForDisconnect()
 	{
 		this->socket().async_wait(
@@ -482,8 +482,8 @@
 		this->awaitRequest();
 	}
 
-	/// Reads on for a while before closing: closing over unread bytes would reset the connection, and the caller would
-	/// lose the answer that is on its way.
+	/// Reads and discards data for up to kLingerTimeUs before closing. Closing a socket with unread data would reset
+	/// the connection, and the client could lose the response.
 	void linger()
 	{
 		Error ignored;
@@ -526,7 +526,7 @@
 
 	Stream stream;
 	std::shared_ptr<SharedState> shared;
-	HttpServerLimits limits; ///< Of the request that is being read or answered.
+	HttpServerLimits limits; ///< Limits that apply to the current request.
 	asio::steady_timer timer;
 	std::size_t threadIndex;
 	beast::flat_buffer buffer;
@@ -690,7 +690,7 @@
 	const auto ip = asio::ip::make_address(_ip, error);
 	if (error)
 	{
-		return "listen address " + _ip + ": must be an IP number";
+		return "listen address " + _ip + ": must be an IP address";
 	}
 	Tcp::acceptor& acceptor = this->impl->acceptor;
 	acceptor.open(ip.is_v6() ? Tcp::v6() : Tcp::v4(), error);
--- a/src/http_types.h
+++ b/src/http_types.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Plain types of an HTTP request and response, shared by server and client. Free of C++20, since the files that
+/// HTTP request and response types, shared by server and client. They use no C++20 features, since the files that
 /// include Boost.Beast are compiled as C++17.
 
 #ifndef ROADFERRY_HTTP_TYPES_H_HEADER_GUARD
@@ -19,30 +19,30 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// @returns Value of the first header of that name, whatever its case; empty when there is none.
+/// @returns Value of the first header with that name, compared without case; empty if there is none.
 std::string headerValue(const HttpHeaders& _headers, const std::string& _name);
 
-/// @returns How many headers have that name, whatever its case.
+/// @returns Number of headers with that name, compared without case.
 std::size_t headerCount(const HttpHeaders& _headers, const std::string& _name);
 
-/// @returns The headers without those that concern one connection only (RFC 9110, 7.6.1): Connection and what it
-/// lists, framing, and upgrades.
+/// @returns The headers without the hop-by-hop ones (RFC 9110, 7.6.1): Connection and the headers that it lists,
+/// framing and upgrades.
 HttpHeaders endToEndHeaders(const HttpHeaders& _headers);
 
-/// A request with its whole body.
+/// HTTP request with its complete body.
 struct HttpRequest
 {
 	std::string method = "GET";
-	std::string target = "/"; ///< Path with query.
+	std::string target = "/"; ///< Path and query.
 	std::string body;
 	HttpHeaders headers;
 };
 
-/// A response with its whole body.
+/// HTTP response with its complete body.
 struct HttpResponse
 {
 	unsigned status = 200;
-	std::string contentType = "application/json"; ///< Empty when the headers say it.
+	std::string contentType = "application/json"; ///< Empty if the headers contain it.
 	std::string body;
 	HttpHeaders headers;
 };
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// HTTP client and server against peers that send what a test scripts, byte for byte.
+/// Tests of the HTTP client and server against peers that send scripted bytes.
 
 #include "deployment.h"
 #include "event_stream.h"
@@ -27,16 +27,16 @@
 
 using namespace roadferry;
 
-constexpr std::int64_t kTimeout = 10'000'000;
+constexpr std::int64_t kTimeout = 10'000'000; ///< Microseconds.
 
-/// Holds up the calling thread.
+/// Blocks the calling thread.
 void sleepFor(std::chrono::milliseconds _time)
 {
 	std::promise<void> never;
 	never.get_future().wait_for(_time);
 }
 
-/// A server that runs a script for each connection.
+/// Server that runs a script for each connection.
 class ScriptServer
 {
 public:
@@ -62,7 +62,7 @@
 		this->thread.join();
 	}
 
-	/// Reads until the end of a request's head.
+	/// Reads the head of a request.
 	static std::string readHead(int _socket)
 	{
 		std::string text;
@@ -79,7 +79,7 @@
 		send(_socket, _text.data(), _text.size(), MSG_NOSIGNAL);
 	}
 
-	/// Closes a connection so that the other side sees a reset.
+	/// Makes the close of a connection a TCP reset.
 	static void reset(int _socket)
 	{
 		const linger now{1, 0};
@@ -107,11 +107,11 @@
 	std::thread thread;
 };
 
-/// A client whose calls are waited for.
+/// Client whose calls block until they end.
 class BlockingClient
 {
 public:
-	/// @param[in] _expectedId Answers under another id are read past.
+	/// @param[in] _expectedId Responses with another X-Id are skipped; empty to accept all.
 	CallEnd call(const std::string& _address, const std::string& _expectedId = {}, const std::string& _body = {},
 				 std::function<void(const std::string&)> _onData = {})
 	{
@@ -144,7 +144,7 @@
 	std::size_t maxIdleConnections = CallSpec{}.maxIdleConnections;
 	std::int64_t timeout = kTimeout; ///< Microseconds.
 	bool restartTimeoutOnData = false;
-	std::chrono::milliseconds pauseAfterSending{0}; ///< In which the client's thread does not run.
+	std::chrono::milliseconds pauseAfterSending{0}; ///< How long the client's thread is blocked.
 
 private:
 	IoPool pool{1};
@@ -157,7 +157,7 @@
 		   "\r\n\r\n" + _body;
 }
 
-/// A server that answers each request with its target.
+/// Server that answers each request with its target.
 class EchoServer
 {
 public:
@@ -200,7 +200,7 @@
 			ScriptServer::readHead(_socket);
 			ScriptServer::sendText(_socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
 			std::unique_lock<std::mutex> guard(lock);
-			// The second part is sent only when the first has been handed on.
+			// The second part is sent only after the first has been delivered.
 			const bool seen = changed.wait_for(guard, std::chrono::seconds(10), [&] { return received == "one"; });
 			guard.unlock();
 			ScriptServer::sendText(_socket, seen ? "3\r\ntwo\r\n0\r\n\r\n" : "4\r\nlate\r\n0\r\n\r\n");
@@ -260,7 +260,7 @@
 	client.call(server.address);
 	cr_assert_eq(server.connections, 1);
 	client.maxIdleConnections = 0;
-	client.call(server.address); // Over the one that is kept, which is closed behind it.
+	client.call(server.address); // Reuses the idle connection, which is closed afterwards.
 	cr_assert_eq(server.connections, 1);
 	client.call(server.address);
 	client.call(server.address);
@@ -273,7 +273,7 @@
 	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.maxIdleConnections);
 	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.maxIdleConnections);
 	pool.maxConnections = 110;
-	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // 80 nodes with one each would leave 30 of 110 for requests.
+	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // One on each of 80 nodes would leave 30 of 110 for requests.
 	cr_assert_eq(idleConnectionsOf(&pool, 7), 7);
 	pool.maxConnections = 100'000;
 	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.maxIdleConnections);
@@ -309,7 +309,7 @@
 	const CallEnd end = client.call(server.address, {}, std::string(32 * 1024 * 1024, 'x'));
 	cr_assert(end.result == CallResult::Complete, "%s", end.error.c_str());
 	cr_assert(end.body == "early");
-	// The connection is in the middle of the first request: the next one needs another.
+	// The first request is only partly written, so the next one needs a new connection.
 	cr_assert(client.call(server.address).body == "early");
 	cr_assert_eq(server.connections, 2);
 }
@@ -324,7 +324,7 @@
 			ScriptServer::sendText(_socket, "HTTP/1.1 200 OK\r\n\r\nto the end");
 			if (resetConnection)
 			{
-				// The bytes are there before the reset: the client reads them, and then its error.
+				// The response precedes the reset, so the client reads it before the error.
 				char byte = 0;
 				recv(_socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 				ScriptServer::reset(_socket);
@@ -338,8 +338,8 @@
 	cr_assert(client.call(server.address).result == CallResult::Interrupted);
 }
 
-/// Guards against a process that did not run and takes that for the silence of the other side: it would ask for
-/// everything anew, and again, on a machine that has too much to do.
+/// Guards against a stall of the client's own process that counts as inactivity of the server. On an overloaded machine
+/// the client would then repeat its requests again and again.
 Test(client, stall_of_the_client_thread_is_not_a_timeout)
 {
 	constexpr std::size_t kBodyBytes = 400'000;
@@ -359,7 +359,8 @@
 	cr_assert_eq(end.body.size(), kBodyBytes);
 }
 
-/// Guards against a limit on a whole answer, however much of it has come: over a narrow link it would never come whole.
+/// Guards against a timeout on the whole response even while data arrives: over a slow link, a long response would
+/// never complete.
 Test(client, timeout_restarts_while_data_arrives)
 {
 	ScriptServer server(
