--- a/src/cbor_reader.h
+++ b/src/cbor_reader.h
@@ -40,7 +40,7 @@
 	return array;
 }
 
-/// Reads fields; the first fault is kept.
+/// Reads fields and keeps the first error in its status.
 class CborReader
 {
 public:
@@ -53,18 +53,18 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isString())
 		{
-			this->setError(_name, "a text");
+			this->setError(_name, "a text string");
 		}
 		return value.toString().toStdString();
 	}
 
-	/// Bodies travel as bytes: they need not be valid UTF-8.
+	/// Request bodies are byte strings, since they need not be valid UTF-8.
 	std::string bytes(const char* _name)
 	{
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isByteArray())
 		{
-			this->setError(_name, "bytes");
+			this->setError(_name, "a byte string");
 		}
 		return value.toByteArray().toStdString();
 	}
@@ -74,7 +74,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isInteger())
 		{
-			this->setError(_name, "a whole number");
+			this->setError(_name, "an integer");
 		}
 		return value.toInteger();
 	}
@@ -94,7 +94,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->setError(_name, "a list of texts");
+			this->setError(_name, "an array of text strings");
 		}
 		std::vector<std::string> result;
 		const QCborArray array = value.toArray();
@@ -110,7 +110,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->setError(_name, "a list of whole numbers");
+			this->setError(_name, "an array of integers");
 		}
 		std::vector<std::uint64_t> result;
 		const QCborArray array = value.toArray();
@@ -131,14 +131,14 @@
 		return value.toBool();
 	}
 
-	/// A list of lists of a certain length.
+	/// @returns The elements of an array, each an array of _length elements.
 	std::vector<QCborArray> arrays(const char* _name, qsizetype _length)
 	{
 		std::vector<QCborArray> result;
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isArray())
 		{
-			this->setError(_name, "a list of lists");
+			this->setError(_name, "an array of arrays");
 		}
 		const QCborArray outer = value.toArray();
 		for (const QCborValue element : outer)
@@ -146,7 +146,7 @@
 			const QCborArray inner = element.toArray();
 			if (inner.size() != _length)
 			{
-				this->setError(_name, "a list of lists of the right length");
+				this->setError(_name, "an array of arrays of the expected length");
 				return {};
 			}
 			result.push_back(inner);
@@ -160,7 +160,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isMap())
 		{
-			this->setError(_name, "a map of whole numbers");
+			this->setError(_name, "a map of integers");
 		}
 		const QCborMap inner = value.toMap();
 		for (const auto entry : inner)
@@ -170,13 +170,14 @@
 		return result;
 	}
 
-	/// A number that stands for one of an enumeration's values.
+	/// @param[in] _count Number of values of the enumeration.
+	/// @returns Numeric value of an enumeration, or 0 with an error if it is out of range.
 	std::int64_t enumValue(const QCborValue& _value, std::int64_t _count, const char* _name)
 	{
 		const std::int64_t number = _value.toInteger(-1);
 		if (number < 0 || number >= _count)
 		{
-			this->setError(_name, "a known value");
+			this->setError(_name, "a known enum value");
 			return 0;
 		}
 		return number;
--- a/src/peer_link.cpp
+++ b/src/peer_link.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Messages between nodes, on websocketpp. Compiled as C++17.
+/// Transport of messages between nodes, based on websocketpp. Compiled as C++17.
 
 #include "peer_link.h"
 
@@ -35,25 +35,25 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::size_t kMaxMessageBytes = 8 * 1024 * 1024;
-constexpr std::size_t kMaxQueuedMessages = 4'096; ///< Messages that wait for a connection to open.
+constexpr std::size_t kMaxQueuedMessages = 4'096; ///< Per node, while its connection opens.
 constexpr long kOpenTimeoutMs = 1'000;
 constexpr const char* kPeerHeader = "X-Roadferry-Peer";
-constexpr std::int64_t kSilenceCheckPeriodUs = 250'000; ///< Microseconds.
-constexpr std::chrono::milliseconds kPingAfter{1'000};  ///< Without an answer of any kind to what was written.
-constexpr std::chrono::milliseconds kSilenceTimeout{2'000};
+constexpr std::int64_t kSilenceCheckPeriodUs = 250'000;
+constexpr std::chrono::milliseconds kPingAfter{1'000};      ///< Time after an unanswered message until a ping is sent.
+constexpr std::chrono::milliseconds kSilenceTimeout{2'000}; ///< Time after an unanswered message until the close.
 constexpr long kCloseTimeoutMs = 1'000;
 constexpr auto kBinary = websocketpp::frame::opcode::binary;
 
-/// The connection to one node, whichever side opened it.
+/// Connection to one node, opened by either side.
 struct PeerConnection
 {
 	Handle handle;
 	bool incoming = false;
 	bool open = false;
 	std::vector<std::string> queued;
-	std::optional<Clock::time_point>
-		unansweredSince; ///< Oldest message after which nothing has come on this connection.
-	bool pinged = false; ///< Since then.
+	/// Send time of the oldest message after which nothing was received on this connection.
+	std::optional<Clock::time_point> unansweredSince;
+	bool pinged = false; ///< A ping was sent since then.
 };
 
 } // namespace
@@ -111,11 +111,11 @@
 		PeerConnection& peer = this->peers[this->peerAddress(_handle)];
 		if (peer.open && !peer.incoming)
 		{
-			return; // Both sides opened one at the same time.
+			return; // Both sides opened a connection at the same time; the outgoing one stays in use.
 		}
 		if (peer.open)
 		{
-			this->closeConnection(peer); // The other side has given it up.
+			this->closeConnection(peer); // The other side has abandoned it and opened a new one.
 		}
 		peer.unansweredSince.reset();
 		peer.pinged = false;
@@ -137,7 +137,7 @@
 		return !_left.owner_before(_right) && !_right.owner_before(_left);
 	}
 
-	/// Something has come on a connection.
+	/// Records that data was received on a connection.
 	void onActivity(const std::string& _peer, const Handle& _handle)
 	{
 		const auto found = this->peers.find(_peer);
@@ -148,7 +148,8 @@
 		}
 	}
 
-	/// A connection may fall silent without being reset: then only the answers that do not come show it.
+	/// Pings or closes connections on which messages stay unanswered. A dead connection is not always reset, so missing
+	/// responses are the only sign of it.
 	void checkSilence()
 	{
 		const Clock::time_point now = Clock::now();
@@ -234,7 +235,7 @@
 
 	void write(PeerConnection& _peer, const std::string& _message)
 	{
-		// A connection that fails here is closed by the library, which calls the close handler.
+		// On a failed send the library closes the connection and calls the close handler.
 		Error ignored;
 		this->transferredBytes += _message.size();
 		_peer.unansweredSince = _peer.unansweredSince.value_or(Clock::now());
@@ -308,7 +309,7 @@
 		PeerConnection& peer = this->peers[_peer];
 		if (peer.open)
 		{
-			// The other side opened one at the same time; both stay usable, and that one is in use.
+			// The other side opened a connection at the same time. Both stay usable, and the incoming one is in use.
 			return;
 		}
 		peer.handle = _handle;
@@ -361,7 +362,7 @@
 	const auto ip = boost::asio::ip::make_address(_ip, addressError);
 	if (addressError)
 	{
-		return "peer listen address " + _ip + ": must be an IP number";
+		return "peer listen address " + _ip + ": must be an IP address";
 	}
 	this->impl->server.listen(boost::asio::ip::tcp::endpoint(ip, _port), error);
 	if (error)
--- a/src/peer_link.h
+++ b/src/peer_link.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Messages between nodes over websockets.
+/// Transport of messages between nodes over WebSocket connections.
 
 #ifndef ROADFERRY_PEER_LINK_H_HEADER_GUARD
 #define ROADFERRY_PEER_LINK_H_HEADER_GUARD
@@ -19,50 +19,50 @@
 namespace roadferry
 {
 
-/// Called on the link's thread.
+/// Callbacks of a link, invoked on the thread of the link.
 struct PeerHandlers
 {
-	/// A message of another node, named by the address that it announced.
+	/// Receives a message from another node, which is identified by its announced address.
 	std::function<void(const std::string& _peer, const std::string& _message)> onMessage;
 
-	/// No connection to that node is open any more; messages sent to it may be lost.
+	/// The connection to that node is closed or could not be opened; messages sent to it may be lost.
 	std::function<void(const std::string& _peer)> onClosed;
 };
 
-/// Connections to other nodes, opened when a message is sent.
+/// Connections to other nodes. A connection is opened when a message is sent to a node that has none.
 class PeerLink
 {
 public:
-	/// @param[in] _pool Pool of which thread 0 serves the link.
-	/// @param[in] _secret Credential that all nodes share.
-	/// @param[in] _handlers What to call.
+	/// @param[in] _pool Pool whose thread 0 runs the link.
+	/// @param[in] _secret Credential shared by all nodes.
+	/// @param[in] _handlers Callbacks.
 	PeerLink(IoPool& _pool, std::string _secret, PeerHandlers _handlers);
 	~PeerLink();
 	PeerLink(const PeerLink&) = delete;
 	PeerLink& operator=(const PeerLink&) = delete;
 
-	/// @param[in] _ip IP number to listen on.
-	/// @param[in] _port Port, or 0 for one that is free.
-	/// @param[in] _announcedAddress Address at which other nodes reach this one; empty for the one that it listens on.
-	/// @returns Empty on success, otherwise what went wrong.
+	/// @param[in] _ip IP address to listen on.
+	/// @param[in] _port Port, or 0 for any free port.
+	/// @param[in] _announcedAddress Address at which other nodes reach this node; empty for the address it listens on.
+	/// @returns Empty on success, otherwise an error message.
 	std::string listen(const std::string& _ip, std::uint16_t _port, const std::string& _announcedAddress = {});
 
-	/// @returns Own address, as other nodes know it.
+	/// @returns Address of this node as announced to other nodes.
 	[[nodiscard]] const std::string& self() const;
 
-	/// Sends a message, after connecting where needed. May be called from any thread.
+	/// Sends a message, and opens a connection first if there is none. May be called from any thread.
 	void send(const std::string& _peer, std::string _message);
 
-	/// @returns Bytes of messages sent and received so far.
+	/// @returns Total bytes of messages sent and received.
 	[[nodiscard]] std::uint64_t transferredBytes() const;
 
-	/// @returns How many connections were given up since nothing came on them any more.
+	/// @returns Number of connections closed because the other node sent nothing for 2 s after a message.
 	[[nodiscard]] std::uint64_t silentConnectionsClosed() const;
 
-	/// @returns Most bytes that waited for one node since the last call.
+	/// @returns Maximum bytes buffered for one node since the last call, and resets that maximum.
 	[[nodiscard]] std::uint64_t takeMaxQueuedBytes();
 
-	/// Closes all connections. Call before the pool is stopped.
+	/// Closes all connections. Must be called before the pool is stopped.
 	void close();
 
 private:
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// CBOR form of the messages between nodes.
+/// CBOR encoding of the messages between nodes.
 
 #include "peer_messages.h"
 #include "cbor_reader.h"
@@ -348,7 +348,7 @@
 	{
 		return PieceFree{_reader.texts("handles")};
 	}
-	_reader.setError(kTypeField, "one that this version knows");
+	_reader.setError(kTypeField, "a known message type");
 	return TableRequest{};
 }
 
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Messages between nodes, and their CBOR form.
+/// Messages between nodes and their CBOR encoding.
 
 #ifndef ROADFERRY_PEER_MESSAGES_H_HEADER_GUARD
 #define ROADFERRY_PEER_MESSAGES_H_HEADER_GUARD
@@ -14,7 +14,7 @@
 namespace roadferry
 {
 
-/// What a relayed call is to do.
+/// Operation of a relayed call.
 enum class RelayKind
 {
 	Submit,
@@ -22,10 +22,10 @@
 	Cancel
 };
 
-/// A caller's call, passed on to the incarnation that issued its ticket.
+/// Call of a client, relayed to the incarnation that issued its ticket.
 struct RelayRequest
 {
-	std::uint64_t relayId = 0; ///< Chosen by the sender; echoed in answers.
+	std::uint64_t relayId = 0; ///< Chosen by the sender and repeated in the replies.
 	RelayKind kind = RelayKind::Submit;
 	std::string ticket;
 	std::string workspace;
@@ -44,7 +44,7 @@
 	bool operator==(const RelayToken&) const = default;
 };
 
-/// End of a relayed call.
+/// Result of a relayed call.
 struct RelayResult
 {
 	std::uint64_t relayId = 0;
@@ -54,41 +54,41 @@
 	bool operator==(const RelayResult&) const = default;
 };
 
-/// Asks for the table, when the log cannot be read.
+/// Requests the table from another node when the log cannot be read.
 struct TableRequest
 {
-	std::uint64_t offset = 0; ///< What the sender holds already.
+	std::uint64_t offset = 0; ///< Log offset up to which the sender has the table.
 	bool operator==(const TableRequest&) const = default;
 };
 
-/// The table of a node that holds more than was asked with.
+/// Table of a node whose log offset is at least the requested one.
 struct TableResponse
 {
-	std::string snapshot; ///< JSON form of a TableSnapshot.
+	std::string snapshot; ///< TableSnapshot as JSON.
 	bool operator==(const TableResponse&) const = default;
 };
 
-/// Endpoints that are known to be leaving.
+/// Reports endpoints that are leaving.
 struct LeavingNotice
 {
 	std::vector<std::string> endpoints;
 	bool operator==(const LeavingNotice&) const = default;
 };
 
-/// Asks for what another node knows of routes and endpoints, while the platform is away.
+/// Requests the routes and endpoints of another node while the platform is unavailable.
 struct RoutesRequest
 {
-	std::uint64_t version = 0;   ///< Version of the routes that the sender holds, 0 for none.
-	bool needsEndpoints = false; ///< Whether the sender knows no endpoints yet.
+	std::uint64_t version = 0;   ///< Version of the sender's routes, 0 for none.
+	bool needsEndpoints = false; ///< Whether the sender has no endpoint list yet.
 	bool operator==(const RoutesRequest&) const = default;
 };
 
-/// What a node knows beyond what was asked with.
+/// Routes and endpoints of a node, as far as the requesting node lacks them.
 struct RoutesResponse
 {
-	std::string record; ///< The routes as the platform keeps them; empty when the asker holds them.
+	std::string record; ///< Result of packRecord; empty if the requesting node has this version.
 	std::vector<ListedEndpoint> endpoints;
-	std::vector<std::string> leaving; ///< Endpoints that were seen leaving.
+	std::vector<std::string> leaving; ///< Ids of endpoints known to be leaving.
 	bool operator==(const RoutesResponse&) const = default;
 };
 
@@ -96,10 +96,10 @@
 								 Farewell, Gossip, DemandReport, ShareGrant, RoutesRequest, RoutesResponse, FeedRequest,
 								 FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
-/// @returns The message as CBOR.
+/// @returns The message encoded as CBOR.
 std::string encode(const PeerMessage& _message);
 
-/// @returns The message, or InvalidArgument that names the field at fault.
+/// @returns The message, or InvalidArgument that names the invalid field.
 absl::StatusOr<PeerMessage> decode(const std::string& _bytes);
 
 } // namespace roadferry
--- a/src/secret.h
+++ b/src/secret.h
@@ -15,17 +15,18 @@
 namespace roadferry
 {
 
-/// Compares two strings in a time that depends on their lengths only.
+/// Compares two strings in a time that depends only on their lengths. An empty string equals none.
 bool equalSecrets(const std::string& _left, const std::string& _right);
 
-/// @param[in] _credentials Credential by name.
-/// @param[in] _authorization Value of the header Authorization.
-/// @returns Name of the one whose credential it is, or an empty string. Each credential is compared, so that the time
-/// does not tell which one was near.
+/// Finds the owner of a bearer credential. All credentials are compared, so that the time does not reveal which one
+/// matched.
+/// @param[in] _credentials Credentials by name.
+/// @param[in] _authorization Value of the Authorization header.
+/// @returns Name of the credential, or an empty string if none matches.
 std::string authenticateBearer(const std::map<std::string, std::string>& _credentials,
 							   const std::string& _authorization);
 
-/// @returns The credential of a header "Authorization: Bearer CREDENTIAL", or an empty string.
+/// @returns Credential of the header "Authorization: Bearer CREDENTIAL", or an empty string.
 std::string bearerToken(const std::string& _authorization);
 
 } // namespace roadferry
--- a/tests/silent_proxy.h
+++ b/tests/silent_proxy.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// A TCP proxy on the loopback whose open connections can fall silent, while new ones work.
+/// TCP proxy on the loopback interface that can stop forwarding without closing its connections.
 
 #ifndef ROADFERRY_SILENT_PROXY_H_HEADER_GUARD
 #define ROADFERRY_SILENT_PROXY_H_HEADER_GUARD
@@ -25,7 +25,7 @@
 namespace roadferry
 {
 
-/// Forwards each connection to one port. Runs in a thread of its own.
+/// Forwards each connection to one port. Runs in its own thread.
 class SilentProxy
 {
 public:
@@ -61,7 +61,7 @@
 		return "127.0.0.1:" + std::to_string(this->port);
 	}
 
-	/// From now on nothing passes on the connections that are open.
+	/// Stops forwarding on the connections that are open. Later connections work.
 	void silenceOpenConnections()
 	{
 		this->silenceRequested = true;
@@ -71,7 +71,7 @@
 		}
 	}
 
-	/// From now on nothing passes on any connection, new ones included.
+	/// Stops forwarding on all connections, including later ones.
 	void silenceAll()
 	{
 		this->allSilent = true;
@@ -85,7 +85,7 @@
 private:
 	static constexpr int kPollMs = 5;
 
-	/// One connection and the one that it is forwarded on.
+	/// Connection of a client and the connection to the target.
 	struct Pair
 	{
 		int clientSocket = -1;
@@ -113,7 +113,7 @@
 		this->acceptedCount += 1;
 	}
 
-	/// @returns False when the connection has ended.
+	/// @returns False if the connection has been closed.
 	static bool forward(int _from, int _to, bool _silent)
 	{
 		std::array<char, 16'384> bytes{};
@@ -169,7 +169,7 @@
 	std::list<Pair> pairs;
 	std::atomic<bool> stopping{false};
 	std::atomic<bool> silenceRequested{false};
-	std::atomic<bool> allSilent{false}; ///< All connections, for good.
+	std::atomic<bool> allSilent{false}; ///< Set by silenceAll().
 	std::atomic<std::size_t> acceptedCount{0};
 	std::thread thread;
 };
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// Parsers that face outside: messages of peers, callers' bodies, spreadsheets. Rubbish gets an error, never a crash.
+/// Tests of parsers of external input: peer messages, request bodies and CSV files. Malformed input gives an error and
+/// never a crash.
 
 #include "feed_record.h"
 #include "peer_messages.h"
--- a/tests/test_peers.cpp
+++ b/tests/test_peers.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Connections between nodes that fall silent, or stay quiet because there is nothing to say.
+/// Tests of connections between nodes that are dead without a reset, or that carry messages in one direction only.
 
 #include "clock.h"
 #include "deployment.h"
@@ -21,7 +21,7 @@
 
 using namespace roadferry;
 
-/// One node's link, and what it has heard.
+/// Link of one node and the messages it has received.
 class Node
 {
 public:
@@ -67,7 +67,7 @@
 
 } // namespace
 
-/// Guards against messages that vanish for good in a connection that fell silent without being reset.
+/// Guards against losing all further messages on a connection that is dead without having been reset.
 Test(peers, silent_connection_is_replaced)
 {
 	Node receiver;
@@ -86,7 +86,7 @@
 	cr_assert_geq(sender.closes, 1);
 }
 
-/// Guards against a connection that is given up though the other node lives and only has nothing to say.
+/// Guards against closing a connection to a node that is alive but has nothing to send.
 Test(peers, one_way_traffic_keeps_the_connection_open)
 {
 	Node receiver;
@@ -94,7 +94,7 @@
 	SilentProxy proxy(receiver.port());
 	const Micros until = monotonicNow() + 4 * kSecond;
 	int sent = 0;
-	Deployment::await("messages for longer than a silence lasts",
+	Deployment::await("traffic for longer than the silence timeout",
 					  [&]
 					  {
 						  sender.link.send(proxy.address(), std::to_string(++sent));
