--- a/src/forward_stages.cpp
+++ b/src/forward_stages.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Forwarded requests while their stages run: what is predicted, which pieces are made where, and what becomes of them.
+/// Stages of forwarded requests: predicted times, where pieces are computed, and the handling of their results.
 
 #include "clock.h"
 #include "forward_active.h"
@@ -20,62 +20,67 @@
 namespace
 {
 
-constexpr double kComeBackAccepted = 1.0 / 3; ///< Part of their time that clients wait when told to come back.
-constexpr double kComeBackEarliest = 0.5;     ///< Parts of that wait.
-constexpr double kComeBackLatest = 0.95;
-constexpr std::uint64_t kComeBackSteps = 1'000;
-/// How much sooner a request is refused for each step that it is less urgent, so that backlogs keep room for others.
-constexpr double kWaitLessByPriority = 0.5;
+/// Longest Retry-After that clients accept, as a share of their timeout.
+constexpr double kMaxRetryAfterShare = 1.0 / 3;
+constexpr double kRetryAfterMinFactor = 0.5; ///< Range of the Retry-After, as shares of the longest one.
+constexpr double kRetryAfterMaxFactor = 0.95;
+constexpr std::uint64_t kRetryAfterSteps = 1'000;
+/// Reduction of the permitted wait per priority step, so that less urgent requests are refused first and the backlog
+/// leaves capacity for urgent ones.
+constexpr double kSlackReductionPerPriority = 0.5;
 constexpr double kFirstEventSmoothing = 0.05;
-constexpr Micros kFirstEventGuess = 300 * kMillisecond; ///< Until one was measured.
-constexpr std::int64_t kLargeResult = 100'000;          ///< Bytes from which on it matters where a result lies.
+constexpr Micros kDefaultFirstEventTime = 300 * kMillisecond; ///< Used until a time has been measured.
+constexpr std::int64_t kLargeResultBytes = 100'000; ///< Size from which the location of a result is considered.
 
 } // namespace
 
-void ForwardTraffic::measureFirstEvent(const Active& _active)
+void ForwardTraffic::recordFirstEventTime(const ActiveRequest& _active)
 {
 	const Micros first = _active.answer.times().firstAt;
-	if (first <= _active.attemptAt || _active.attempts != 1)
+	if (first <= _active.attemptStartedAt || _active.attempts != 1)
 	{
 		return;
 	}
-	const auto sample = static_cast<double>(first - _active.attemptAt);
-	double& time = this->firstEventTimes.try_emplace(_active.pool, kFirstEventGuess).first->second;
+	const auto sample = static_cast<double>(first - _active.attemptStartedAt);
+	double& time = this->firstEventTimes.try_emplace(_active.pool, kDefaultFirstEventTime).first->second;
 	time += kFirstEventSmoothing * (sample - time);
 }
 
 Micros ForwardTraffic::firstEventTime(const std::string& _pool) const
 {
 	const auto found = this->firstEventTimes.find(_pool);
-	return found == this->firstEventTimes.end() ? kFirstEventGuess : static_cast<Micros>(found->second);
+	return found == this->firstEventTimes.end() ? kDefaultFirstEventTime : static_cast<Micros>(found->second);
 }
 
-/// What a request needs of its pools to be in time. Its first pieces go out with it.
-AdmissionTerms ForwardTraffic::termsOf(const Active& _active) const
+/// Returns what a request needs from its pools to meet its target time. Sent with its first pieces.
+AdmissionTerms ForwardTraffic::makeAdmissionTerms(const ActiveRequest& _active) const
 {
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
 	AdmissionTerms terms;
 	terms.demand = staged.demand();
 	const Micros slack = _active.route.latencyTarget - staged.totalTime() - this->firstEventTime(_active.pool);
 	const double rank = static_cast<double>(std::max<std::int64_t>(0, _active.priority));
-	terms.waitMost = static_cast<Micros>(static_cast<double>(slack) / (1 + kWaitLessByPriority * rank));
-	// One that comes with less time than its route gives has most likely been turned away before: it is served.
-	terms.refusable = _active.giveUpAt - _active.arrived > _active.route.timeLimit * 9 / 10;
+	terms.maxWait = static_cast<Micros>(static_cast<double>(slack) / (1 + kSlackReductionPerPriority * rank));
+	// A request with clearly less time than its route allows has most likely been refused before, so it is not
+	// refused again.
+	terms.refusable = _active.deadline - _active.arrivedAt > _active.route.timeLimit * 9 / 10;
 	return terms;
 }
 
-/// When a request that was not let in should come back: spread over what its client accepts, so that those of one burst
-/// do not come back together, and most of them after it.
-Micros ForwardTraffic::comeBackAfter(const Active& _active)
+/// Returns the Retry-After of a request that is not admitted. It is spread over the time that the client accepts, so
+/// that the requests of one burst do not all return at once, and most return after the burst.
+Micros ForwardTraffic::jitteredRetryAfter(const ActiveRequest& _active)
 {
-	const double latest = static_cast<double>(_active.giveUpAt - _active.arrived) * kComeBackAccepted;
-	const std::uint64_t draw = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kComeBackSteps;
-	const double part = static_cast<double>(draw) / static_cast<double>(kComeBackSteps);
-	return static_cast<Micros>(latest * (kComeBackEarliest + (kComeBackLatest - kComeBackEarliest) * part));
+	const double longest = static_cast<double>(_active.deadline - _active.arrivedAt) * kMaxRetryAfterShare;
+	const std::uint64_t step = XXH3_64bits(_active.request.id.data(), _active.request.id.size()) % kRetryAfterSteps;
+	const double fraction = static_cast<double>(step) / static_cast<double>(kRetryAfterSteps);
+	return static_cast<Micros>(longest *
+							   (kRetryAfterMinFactor + (kRetryAfterMaxFactor - kRetryAfterMinFactor) * fraction));
 }
 
-/// Bytes that cross between a stage's results and those who work on them: each of their pieces fetches all results.
-std::int64_t ForwardTraffic::bytesOnward(const Active& _active, std::size_t _stage) const
+/// Returns the bytes transferred from a stage's results to the pieces that use them: each such piece fetches all
+/// results.
+std::int64_t ForwardTraffic::downstreamBytes(const ActiveRequest& _active, std::size_t _stage) const
 {
 	const std::vector<RouteStage>& stages = _active.route.stages;
 	const std::vector<std::int64_t>& counts = _active.request.pieceCounts;
@@ -89,59 +94,59 @@
 	return stages[_stage].resultBytes * countOf(_stage) * std::max<std::int64_t>(1, fetches);
 }
 
-/// @returns Failure domain in which a stage's pieces should be made: where their inputs lie, if those are large, or
-/// where the request itself will go, if their results are; empty when it does not matter.
-std::string ForwardTraffic::domainFor(const Active& _active, std::size_t _stage) const
+/// @returns Preferred failure domain for a stage's pieces: the domain that holds their inputs, if these are large, or
+/// the domain where the request itself will run, if their results are large; empty when it does not matter.
+std::string ForwardTraffic::preferredDomain(const ActiveRequest& _active, std::size_t _stage) const
 {
 	std::map<std::string, std::int64_t> bytesIn;
 	for (const std::size_t before : _active.route.stages[_stage].after)
 	{
 		for (const std::string& handle : _active.graph.handlesOf(before))
 		{
-			const auto domain = _active.domainOf.find(handle);
-			if (domain != _active.domainOf.end())
+			const auto domain = _active.resultDomains.find(handle);
+			if (domain != _active.resultDomains.end())
 			{
-				bytesIn[domain->second] += this->bytesOnward(_active, before);
+				bytesIn[domain->second] += this->downstreamBytes(_active, before);
 			}
 		}
 	}
 	const auto most =
 		std::max_element(bytesIn.begin(), bytesIn.end(),
 						 [](const auto& _left, const auto& _right) { return _left.second < _right.second; });
-	if (most != bytesIn.end() && most->second >= kLargeResult)
+	if (most != bytesIn.end() && most->second >= kLargeResultBytes)
 	{
 		return most->first;
 	}
-	return this->bytesOnward(_active, _stage) >= kLargeResult ? _active.homeDomain : std::string();
+	return this->downstreamBytes(_active, _stage) >= kLargeResultBytes ? _active.homeDomain : std::string();
 }
 
-PieceOrder ForwardTraffic::orderOf(const Active& _active, const PieceIndex& _piece) const
+PieceOrder ForwardTraffic::makeOrder(const ActiveRequest& _active, const PieceIndex& _piece) const
 {
 	const RouteStage& stage = _active.route.stages[_piece.stage];
 	const StagedRoute staged{*_active.plan, _active.route, _active.request.pieceCounts};
-	const Micros stages = staged.timeAfter(_piece.stage);
-	const Micros after = stages + this->firstEventTime(_active.pool);
+	const Micros laterStages = staged.timeAfter(_piece.stage);
+	const Micros untilFirstEvent = laterStages + this->firstEventTime(_active.pool);
 	PieceOrder order;
 	order.request = _active.request.id;
 	order.index = _piece;
 	order.key = stage.after.empty() ? _active.request.pieceKey : std::string();
 	order.inputs = _active.graph.inputsOf(_piece.stage);
-	order.deadline = std::min(_active.stagesUntil - stages, _active.giveUpAt - after);
-	order.due = _active.arrived + _active.route.latencyTarget - after;
+	order.deadline = std::min(_active.stagesDeadline - laterStages, _active.deadline - untilFirstEvent);
+	order.due = _active.arrivedAt + _active.route.latencyTarget - untilFirstEvent;
 	order.priority = _active.priority;
 	order.resultBytes = stage.resultBytes;
-	order.preferredDomain = this->domainFor(_active, _piece.stage);
+	order.preferredDomain = this->preferredDomain(_active, _piece.stage);
 	return order;
 }
 
-void ForwardTraffic::orderPieces(const ActivePointer& _active)
+void ForwardTraffic::orderPieces(const ActiveRequestPtr& _active)
 {
-	const bool first = !std::exchange(_active->admissionAsked, true);
-	std::optional<AdmissionTerms> terms = first ? std::optional(this->termsOf(*_active)) : std::nullopt;
+	const bool first = !std::exchange(_active->admissionRequested, true);
+	std::optional<AdmissionTerms> terms = first ? std::optional(this->makeAdmissionTerms(*_active)) : std::nullopt;
 	std::map<std::string, std::vector<PieceOrder>> byPool;
 	for (const PieceIndex& piece : _active->graph.takeReady())
 	{
-		PieceOrder order = this->orderOf(*_active, piece);
+		PieceOrder order = this->makeOrder(*_active, piece);
 		order.orderId = ++this->lastOrder;
 		_active->orders.insert(order.orderId);
 		this->pieceOrders.emplace(order.orderId, std::make_pair(_active->id, piece));
@@ -154,37 +159,37 @@
 				  {"pool", entry.first},
 				  {"pieces", entry.second.size()},
 				  {"first_stage", entry.second.front().index.stage},
-				  {"waited_ms", (monotonicNow() - _active->arrived) / kMillisecond}});
+				  {"waited_ms", (monotonicNow() - _active->arrivedAt) / kMillisecond}});
 		this->pieces.submit(entry.first, entry.second, std::exchange(terms, std::nullopt));
 	}
 }
 
-void ForwardTraffic::pieceStarted(const PieceStarted& _started)
+void ForwardTraffic::onPieceStarted(const PieceStarted& _started)
 {
 	const auto found = this->pieceOrders.find(_started.orderId);
 	if (found == this->pieceOrders.end())
 	{
 		return;
 	}
-	const ActivePointer active = this->find(found->second.first);
+	const ActiveRequestPtr active = this->findActive(found->second.first);
 	active->graph.markStarted(found->second.second);
 	this->pieces.free(active->graph.takeUnneeded());
 }
 
-void ForwardTraffic::pieceMade(const PieceCompleted& _made)
+void ForwardTraffic::onPieceCompleted(const PieceCompleted& _completed)
 {
-	const auto found = this->pieceOrders.find(_made.orderId);
+	const auto found = this->pieceOrders.find(_completed.orderId);
 	if (found == this->pieceOrders.end())
 	{
-		this->pieces.free({_made.handle});
+		this->pieces.free({_completed.handle});
 		return;
 	}
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
-	const ActivePointer active = this->find(request);
-	active->orders.erase(_made.orderId);
-	active->graph.markCompleted(piece, _made.handle);
-	active->domainOf[_made.handle] = _made.failureDomain;
+	const ActiveRequestPtr active = this->findActive(request);
+	active->orders.erase(_completed.orderId);
+	active->graph.markCompleted(piece, _completed.handle);
+	active->resultDomains[_completed.handle] = _completed.failureDomain;
 	this->pieces.free(active->graph.takeUnneeded());
 	if (active->graph.isComplete())
 	{
@@ -194,7 +199,7 @@
 	this->orderPieces(active);
 }
 
-void ForwardTraffic::pieceFailed(const PieceFailed& _failed)
+void ForwardTraffic::onPieceFailed(const PieceFailed& _failed)
 {
 	const auto found = this->pieceOrders.find(_failed.orderId);
 	if (found == this->pieceOrders.end())
@@ -203,39 +208,40 @@
 	}
 	const auto [request, piece] = found->second;
 	this->pieceOrders.erase(found);
-	const ActivePointer active = this->find(request);
+	const ActiveRequestPtr active = this->findActive(request);
 	active->orders.erase(_failed.orderId);
 	logEvent("request", "piece_failed",
 			 {{"request", active->request.id},
 			  {"stage", piece.stage},
 			  {"piece", piece.piece},
 			  {"fault", std::string(nameOf(_failed.fault))}});
-	const bool inTime = monotonicNow() < active->arrived + active->route.latencyTarget;
-	if (_failed.fault == PieceFault::InputGone && active->remakes < kRemakesMost && inTime)
+	const bool inTime = monotonicNow() < active->arrivedAt + active->route.latencyTarget;
+	if (_failed.fault == PieceFault::InputGone && active->stageReruns < kMaxStageReruns && inTime)
 	{
-		this->remake(active);
+		this->rerunStages(active);
 		return;
 	}
 	if (_failed.fault == PieceFault::NotAdmitted)
 	{
-		// Later, when the backlog has gone down, it can still be in time; now it would be late, and hold others up.
-		this->giveUp(active, Reason::WouldBeLate, comeBackAfter(*active));
+		// Now it would be late and delay other requests; after the backlog has shrunk it can still be in time.
+		this->giveUp(active, Reason::WouldBeLate, jitteredRetryAfter(*active));
 		return;
 	}
 	const bool late = _failed.fault == PieceFault::Late;
-	this->giveUp(active, late ? Reason::WouldBeLate : Reason::NoEndpoint, kRetrySoon);
+	this->giveUp(active, late ? Reason::WouldBeLate : Reason::NoEndpoint, kShortRetryAfter);
 }
 
-/// Makes all pieces again, after a result was lost.
-void ForwardTraffic::remake(const ActivePointer& _active)
+/// Runs all stages again after a result was lost.
+void ForwardTraffic::rerunStages(const ActiveRequestPtr& _active)
 {
-	_active->remakes += 1;
+	_active->stageReruns += 1;
 	_active->inputsFreed = false;
 	_active->submitted = false;
-	this->deadlines.erase({_active->stagesUntil, _active->id});
+	this->deadlines.erase({_active->stagesDeadline, _active->id});
 	if (_active->attempts > 0)
 	{
-		_active->stagesUntil = _active->giveUpAt; // Once it was sent, a refusal could no longer say that it was not.
+		// It was sent to an endpoint, so a refusal could no longer state that it did not run.
+		_active->stagesDeadline = _active->deadline;
 	}
 	const std::vector<std::uint64_t> orders(_active->orders.begin(), _active->orders.end());
 	_active->orders.clear();
@@ -246,15 +252,15 @@
 	this->pieces.cancel(orders);
 	this->pieces.free(_active->graph.takeRemaining());
 	_active->graph = StageGraph(_active->route.stages, _active->request.pieceCounts);
-	this->deadlines.emplace(_active->stagesUntil, _active->id);
+	this->deadlines.emplace(_active->stagesDeadline, _active->id);
 	this->orderPieces(_active);
 }
 
-/// @returns The failure domain that holds most of the results, where they are large.
-std::string ForwardTraffic::domainOfResults(const Active& _active) const
+/// @returns The failure domain that holds most of the results, empty unless these are large.
+std::string ForwardTraffic::resultsDomain(const ActiveRequest& _active) const
 {
 	const bool large = std::any_of(_active.route.stages.begin(), _active.route.stages.end(),
-								   [](const RouteStage& _stage) { return _stage.resultBytes >= kLargeResult; });
+								   [](const RouteStage& _stage) { return _stage.resultBytes >= kLargeResultBytes; });
 	if (!large)
 	{
 		return {};
@@ -262,8 +268,8 @@
 	std::map<std::string, std::size_t> counts;
 	for (const std::string& handle : _active.graph.results())
 	{
-		const auto domain = _active.domainOf.find(handle);
-		if (domain != _active.domainOf.end())
+		const auto domain = _active.resultDomains.find(handle);
+		if (domain != _active.resultDomains.end())
 		{
 			counts[domain->second] += 1;
 		}
@@ -274,8 +280,8 @@
 	return most == counts.end() ? std::string() : most->first;
 }
 
-/// The endpoint has fetched its inputs: they need not take up room any longer.
-void ForwardTraffic::freeInputs(const ActivePointer& _active)
+/// Frees the inputs of the request, which its endpoint has fetched.
+void ForwardTraffic::freeInputs(const ActiveRequestPtr& _active)
 {
 	_active->inputsFreed = true;
 	this->pieces.free(_active->graph.takeRemaining());
--- a/src/peer_messages.cpp
+++ b/src/peer_messages.cpp
@@ -74,10 +74,10 @@
 	return QCborMap{{"type", "leaving"}, {"endpoints", toCborArray(_message.endpoints)}};
 }
 
-QCborMap toCbor(const Farewell& _message)
+QCborMap toCbor(const ShutdownReport& _message)
 {
 	QCborArray outcomes;
-	for (const auto& entry : _message.ended)
+	for (const auto& entry : _message.outcomes)
 	{
 		const Outcome& outcome = entry.second;
 		outcomes.append(QCborArray{static_cast<qint64>(entry.first), static_cast<qint64>(outcome.verdict),
@@ -86,14 +86,14 @@
 	return QCborMap{{"type", "farewell"},
 					{"node", toQString(_message.issuer.node)},
 					{"incarnation", static_cast<qint64>(_message.issuer.number)},
-					{"forgotten", static_cast<qint64>(_message.forgottenUpTo)},
+					{"forgotten", static_cast<qint64>(_message.expiredUpTo)},
 					{"ended", outcomes}};
 }
 
 QCborMap toCbor(const Gossip& _message)
 {
 	QCborArray updates;
-	for (const Member& member : _message.news)
+	for (const Member& member : _message.updates)
 	{
 		updates.append(QCborArray{toQString(member.address), static_cast<qint64>(member.version),
 								  static_cast<qint64>(member.state), static_cast<qint64>(member.tableOffset)});
@@ -230,18 +230,18 @@
 	return message;
 }
 
-Farewell readShutdownReport(CborReader& _reader)
+ShutdownReport readShutdownReport(CborReader& _reader)
 {
-	Farewell message;
+	ShutdownReport message;
 	message.issuer = Incarnation{_reader.text("node"), _reader.unsignedInteger("incarnation")};
-	message.forgottenUpTo = _reader.unsignedInteger("forgotten");
+	message.expiredUpTo = _reader.unsignedInteger("forgotten");
 	for (const QCborArray& entry : _reader.arrays("ended", 4))
 	{
 		Outcome outcome;
 		outcome.verdict = static_cast<Verdict>(_reader.enumValue(entry.at(1), kVerdictCount, "ended"));
 		outcome.reason = static_cast<Reason>(_reader.enumValue(entry.at(2), kReasonCount, "ended"));
 		outcome.repeatSafe = entry.at(3).toBool();
-		message.ended.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
+		message.outcomes.emplace(static_cast<std::uint64_t>(entry.at(0).toInteger()), outcome);
 	}
 	return message;
 }
@@ -259,7 +259,7 @@
 		member.version = static_cast<std::uint64_t>(entry.at(1).toInteger());
 		member.state = static_cast<MemberState>(_reader.enumValue(entry.at(2), kMemberStateCount, "news"));
 		member.tableOffset = static_cast<std::uint64_t>(entry.at(3).toInteger());
-		message.news.push_back(member);
+		message.updates.push_back(member);
 	}
 	return message;
 }
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -93,8 +93,8 @@
 };
 
 using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableRequest, TableResponse, LeavingNotice,
-								 Farewell, Gossip, DemandReport, ShareGrant, RoutesRequest, RoutesResponse, FeedRequest,
-								 FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
+								 ShutdownReport, Gossip, DemandReport, ShareGrant, RoutesRequest, RoutesResponse,
+								 FeedRequest, FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
 /// @returns The message encoded as CBOR.
 std::string encode(const PeerMessage& _message);
--- a/tests/test_http.cpp
+++ b/tests/test_http.cpp
@@ -270,13 +270,13 @@
 Test(client, idle_connections_of_all_nodes_leave_capacity_for_requests)
 {
 	PoolSpec pool;
-	cr_assert_eq(idleConnectionsOf(nullptr, 80), CallSpec{}.maxIdleConnections);
-	cr_assert_eq(idleConnectionsOf(&pool, 80), CallSpec{}.maxIdleConnections);
+	cr_assert_eq(maxIdleConnections(nullptr, 80), CallSpec{}.maxIdleConnections);
+	cr_assert_eq(maxIdleConnections(&pool, 80), CallSpec{}.maxIdleConnections);
 	pool.maxConnections = 110;
-	cr_assert_eq(idleConnectionsOf(&pool, 80), 0); // One on each of 80 nodes would leave 30 of 110 for requests.
-	cr_assert_eq(idleConnectionsOf(&pool, 7), 7);
+	cr_assert_eq(maxIdleConnections(&pool, 80), 0); // One on each of 80 nodes would leave 30 of 110 for requests.
+	cr_assert_eq(maxIdleConnections(&pool, 7), 7);
 	pool.maxConnections = 100'000;
-	cr_assert_eq(idleConnectionsOf(&pool, 7), CallSpec{}.maxIdleConnections);
+	cr_assert_eq(maxIdleConnections(&pool, 7), CallSpec{}.maxIdleConnections);
 }
 
 Test(client, connection_past_its_keep_alive_timeout_is_not_reused)
@@ -464,11 +464,11 @@
 					   while (!text.empty())
 					   {
 						   const std::size_t size = *rc::gen::inRange<std::size_t>(1, text.size() + 1);
-						   const auto events = splitter.take(text.substr(0, size));
+						   const auto events = splitter.append(text.substr(0, size));
 						   received.insert(received.end(), events.begin(), events.end());
 						   text.erase(0, size);
 					   }
 					   RC_ASSERT(received == expected);
-					   RC_ASSERT(splitter.hasPart() == !part.empty());
+					   RC_ASSERT(splitter.hasPartialEvent() == !part.empty());
 				   });
 }
