--- a/src/control.cpp
+++ b/src/control.cpp
@@ -97,19 +97,19 @@
 	}
 	// Asks one peer per call, in round-robin order.
 	const std::string& peer = this->peerList[this->nextPeer++ % this->peerList.size()];
-	this->send(peer, TableAsk{this->tableReplica.table().snapshot().offset});
+	this->send(peer, TableRequest{this->tableReplica.table().snapshot().offset});
 }
 
-void Control::onTableRequest(const std::string& _peer, const TableAsk& _request)
+void Control::onTableRequest(const std::string& _peer, const TableRequest& _request)
 {
 	const TableSnapshot& snapshot = this->tableReplica.table().snapshot();
 	if (snapshot.offset >= _request.offset && snapshot.offset > 0)
 	{
-		this->send(_peer, TableGive{toText(toJson(snapshot))});
+		this->send(_peer, TableResponse{toText(toJson(snapshot))});
 	}
 }
 
-void Control::onTableResponse(const TableGive& _response)
+void Control::onTableResponse(const TableResponse& _response)
 {
 	const auto object = parseObject(_response.snapshot);
 	const auto snapshot = object.ok() ? snapshotFromJson(*object) : object.status();
@@ -285,11 +285,11 @@
 	}
 	for (const std::string& peer : this->peerList)
 	{
-		this->send(peer, LeavingWord{{_endpoint}});
+		this->send(peer, LeavingNotice{{_endpoint}});
 	}
 }
 
-void Control::onLeavingNotice(const LeavingWord& _notice)
+void Control::onLeavingNotice(const LeavingNotice& _notice)
 {
 	for (const std::string& endpoint : _notice.endpoints)
 	{
--- a/src/control.h
+++ b/src/control.h
@@ -42,9 +42,9 @@
 	void edit(const TableEdit& _edit, const EditCallback& _callback);
 
 	/// Processes a message from another node.
-	void onTableRequest(const std::string& _peer, const TableAsk& _request);
-	void onTableResponse(const TableGive& _response);
-	void onLeavingNotice(const LeavingWord& _notice);
+	void onTableRequest(const std::string& _peer, const TableRequest& _request);
+	void onTableResponse(const TableResponse& _response);
+	void onLeavingNotice(const LeavingNotice& _notice);
 
 	[[nodiscard]] const TableReplica& replica() const;
 	[[nodiscard]] const std::vector<std::string>& peers() const;
--- a/src/forward_answer.cpp
+++ b/src/forward_answer.cpp
@@ -55,7 +55,7 @@
 		return HeadVerdict::Skip;
 	}
 	this->currentHead = std::move(head);
-	return HeadVerdict::Take;
+	return HeadVerdict::Accept;
 }
 
 bool ForwardAnswer::isUsable() const
@@ -114,7 +114,7 @@
 	{
 		return AttemptNotSent{};
 	}
-	if (_end.result == CallResult::Cut || !this->currentHead)
+	if (_end.result == CallResult::Interrupted || !this->currentHead)
 	{
 		return AttemptInterrupted{};
 	}
--- a/src/forward_control.cpp
+++ b/src/forward_control.cpp
@@ -283,22 +283,22 @@
 	}
 	this->nextPeerQueryAt = _now + kPeerQueryInterval;
 	this->peerQueryCount += 1;
-	RoutesAsk request;
+	RoutesRequest request;
 	request.version = this->exchange.routes().version;
-	request.endpoints = !this->exchange.ready();
+	request.needsEndpoints = !this->exchange.ready();
 	this->send(peers[this->peerQueryCount % peers.size()], request);
 }
 
-void ForwardControl::onRoutesRequest(const std::string& _peer, const RoutesAsk& _request)
+void ForwardControl::onRoutesRequest(const std::string& _peer, const RoutesRequest& _request)
 {
 	const EncodedRoutes& routes = this->exchange.routes();
 	const EndpointDirectory& directory = this->exchange.endpoints();
-	RoutesGive response;
+	RoutesResponse response;
 	if (routes.version > _request.version)
 	{
 		response.record = routes.record;
 	}
-	if (_request.endpoints)
+	if (_request.needsEndpoints)
 	{
 		response.endpoints = directory.changesSince(0).listed;
 	}
@@ -325,7 +325,7 @@
 	}
 }
 
-void ForwardControl::onRoutesResponse(const std::string& _peer, const RoutesGive& _response)
+void ForwardControl::onRoutesResponse(const std::string& _peer, const RoutesResponse& _response)
 {
 	if (!_response.record.empty())
 	{
--- a/src/forward_control.h
+++ b/src/forward_control.h
@@ -42,8 +42,8 @@
 
 	/// Handlers for messages from other nodes.
 	void onGossip(const std::string& _peer, const Gossip& _message);
-	void onRoutesRequest(const std::string& _peer, const RoutesAsk& _request);
-	void onRoutesResponse(const std::string& _peer, const RoutesGive& _response);
+	void onRoutesRequest(const std::string& _peer, const RoutesRequest& _request);
+	void onRoutesResponse(const std::string& _peer, const RoutesResponse& _response);
 	void onFeedRequest(const std::string& _peer, const FeedRequest& _request);
 	void onFeedResponse(const std::string& _peer, const FeedResponse& _response);
 
--- a/src/forward_node.cpp
+++ b/src/forward_node.cpp
@@ -197,9 +197,9 @@
 		Overloaded{
 			[&](const Gossip& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onGossip(_peer, _typed); }); },
-			[&](const RoutesAsk& _typed)
+			[&](const RoutesRequest& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesRequest(_peer, _typed); }); },
-			[&](const RoutesGive& _typed)
+			[&](const RoutesResponse& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onRoutesResponse(_peer, _typed); }); },
 			[&](const FeedRequest& _typed)
 			{ runOnControlThread([this, _peer, _typed] { this->control->onFeedRequest(_peer, _typed); }); },
@@ -245,15 +245,15 @@
 /// per second.
 void ForwardNode::logPeerLink()
 {
-	const std::uint64_t queued = this->link->takeMostQueued();
-	const std::uint64_t bytes = this->link->bytes();
+	const std::uint64_t queued = this->link->takeMaxQueuedBytes();
+	const std::uint64_t bytes = this->link->transferredBytes();
 	if (queued >= kQueuedBytesLogThreshold)
 	{
 		logEvent("peer", "queued",
 				 {{"bytes_for_one_node", queued}, {"bytes_in_and_out", bytes - this->loggedPeerBytes}});
 	}
 	this->loggedPeerBytes = bytes;
-	const std::uint64_t silent = this->link->silentConnections();
+	const std::uint64_t silent = this->link->silentConnectionsClosed();
 	if (silent > this->loggedSilentConnections)
 	{
 		logEvent("peer", "silent_connections_closed", {{"connections", silent - this->loggedSilentConnections}});
@@ -284,7 +284,7 @@
 		return;
 	}
 	// Requests that still arrive on open connections are served; each connection is closed after its response.
-	this->server->closeAfterAnswers();
+	this->server->closeAfterResponses();
 	if (waited >= this->settings.drainSeconds * kSecond - kRefuseMargin && !std::exchange(this->unsentRefused, true))
 	{
 		this->traffic->refuseUnsent();
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -293,7 +293,7 @@
 	{
 		_active->homeDomain = this->dispatcher.homeDomain(_active->pool, _active->prefixHash, _active->arrivedAt);
 	}
-	_active->answer.reply()->onGone([this, id = _active->id] { this->onClientGone(id); });
+	_active->answer.reply()->onDisconnect([this, id = _active->id] { this->onClientGone(id); });
 	if (this->findActive(_active->id) == nullptr)
 	{
 		return; // The client had already disconnected.
@@ -371,11 +371,11 @@
 {
 	if (_pool == nullptr || _pool->maxConnections <= 0)
 	{
-		return CallSpec{}.keepAtMost;
+		return CallSpec{}.maxIdleConnections;
 	}
 	const double share =
 		kIdleConnectionShare * static_cast<double>(_pool->maxConnections) / static_cast<double>(_nodes);
-	return std::min(CallSpec{}.keepAtMost, static_cast<std::size_t>(share));
+	return std::min(CallSpec{}.maxIdleConnections, static_cast<std::size_t>(share));
 }
 
 void ForwardTraffic::startAttempt(const StartAttempt& _attempt)
@@ -396,9 +396,9 @@
 	spec.request = this->wire.makeEndpointRequest(active->request, attempt);
 	spec.timeout = active->deadline - now + kCallTimeoutSlack;
 	spec.connectTimeout = kConnectTimeout;
-	spec.fresh = _attempt.atMostOnce;
-	spec.noticeSilence = active->route.repeatable;
-	spec.keepAtMost = maxIdleConnections(active->plan->pool(active->pool), this->liveNodes);
+	spec.forceNewConnection = _attempt.atMostOnce;
+	spec.detectDeadConnection = active->route.repeatable;
+	spec.maxIdleConnections = maxIdleConnections(active->plan->pool(active->pool), this->liveNodes);
 	CallHandlers handlers;
 	handlers.onHead = [active](unsigned _status, const HttpHeaders& _headers)
 	{ return active->answer.receiveHead(_status, _headers); };
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -74,7 +74,7 @@
 		return false;
 	}
 	const std::string operatorName =
-		nameOfBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
+		authenticateBearer(this->settings.operators, headerValue(_request.headers, "Authorization"));
 	if (operatorName.empty())
 	{
 		_reply->send(
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -136,7 +136,7 @@
 			_run->reply->send(jsonResponse(503, QJsonObject{{"not_begun", true}}));
 			return;
 		}
-		_run->reply->onGone([_run] { _run->clientDisconnected = true; });
+		_run->reply->onDisconnect([_run] { _run->clientDisconnected = true; });
 		if (this->running >= this->settings.slots)
 		{
 			this->queued.push_back(_run);
