--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -23,22 +23,23 @@
 {
 
 constexpr Micros kMicrosPerSecond = kSecond;
-constexpr Micros kRelayGrace = 500 * kMillisecond; ///< After its deadline, for the issuer's own answer to arrive.
-constexpr Micros kAskTimeout = 2 * kSecond;
+constexpr Micros kRelayTimeoutMargin =
+	500 * kMillisecond; ///< After its deadline, for the issuer's own answer to arrive.
+constexpr Micros kQueryTimeout = 2 * kSecond;
 
 /// Sends one JSON response.
-class WholeSink final : public AnswerSink
+class JsonResponseSink final : public AnswerSink
 {
 public:
-	explicit WholeSink(std::shared_ptr<HttpReply> _reply) : reply(std::move(_reply))
+	explicit JsonResponseSink(std::shared_ptr<HttpReply> _reply) : reply(std::move(_reply))
 	{
 	}
 
-	void token(std::int64_t, const std::string&) override
+	void writeToken(std::int64_t, const std::string&) override
 	{
 	}
 
-	void result(unsigned _status, Micros _retryAfter, const std::string& _json) override
+	void writeResult(unsigned _status, Micros _retryAfter, const std::string& _json) override
 	{
 		HttpResponse response;
 		response.status = _status;
@@ -56,52 +57,52 @@
 };
 
 /// Sends tokens and the result as server-sent events.
-class StreamSink final : public AnswerSink
+class EventStreamSink final : public AnswerSink
 {
 public:
-	explicit StreamSink(std::shared_ptr<HttpReply> _reply) : reply(std::move(_reply))
+	explicit EventStreamSink(std::shared_ptr<HttpReply> _reply) : reply(std::move(_reply))
 	{
 	}
 
-	void token(std::int64_t _position, const std::string& _text) override
+	void writeToken(std::int64_t _position, const std::string& _text) override
 	{
-		this->begin();
+		this->startStream();
 		const QJsonObject object{{"position", static_cast<qint64>(_position)}, {"text", QString::fromStdString(_text)}};
 		this->reply->write(absl::StrCat("event: token\ndata: ", toText(object), "\n\n"));
 	}
 
-	void result(unsigned, Micros, const std::string& _json) override
+	void writeResult(unsigned, Micros, const std::string& _json) override
 	{
-		this->begin();
+		this->startStream();
 		this->reply->write(absl::StrCat("event: outcome\ndata: ", _json, "\n\n"));
 		this->reply->endStream();
 	}
 
 private:
-	void begin()
+	void startStream()
 	{
-		if (!this->begun)
+		if (!this->streamStarted)
 		{
-			this->begun = true;
+			this->streamStarted = true;
 			this->reply->startStream(200, {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-cache"}});
 		}
 	}
 
 	std::shared_ptr<HttpReply> reply;
-	bool begun = false;
+	bool streamStarted = false;
 };
 
-std::shared_ptr<AnswerSink> sinkFor(bool _stream, const std::shared_ptr<HttpReply>& _reply)
+std::shared_ptr<AnswerSink> makeSink(bool _stream, const std::shared_ptr<HttpReply>& _reply)
 {
 	if (_stream)
 	{
-		return std::make_shared<StreamSink>(_reply);
+		return std::make_shared<EventStreamSink>(_reply);
 	}
-	return std::make_shared<WholeSink>(_reply);
+	return std::make_shared<JsonResponseSink>(_reply);
 }
 
 /// @returns The part of a path between a prefix and a suffix, decoded; empty when the path is another one.
-std::string pathPart(const std::string& _path, absl::string_view _prefix, absl::string_view _suffix)
+std::string extractPathSegment(const std::string& _path, absl::string_view _prefix, absl::string_view _suffix)
 {
 	absl::string_view rest = _path;
 	if (!absl::ConsumePrefix(&rest, _prefix) || !absl::ConsumeSuffix(&rest, _suffix))
@@ -133,12 +134,13 @@
 
 bool CallerApi::handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply)
 {
-	const bool tickets = _request.target == "/v1/tickets" && _request.method == "POST";
+	const bool isTicketRequest = _request.target == "/v1/tickets" && _request.method == "POST";
 	const std::string pipeline =
-		_request.method == "POST" ? pathPart(_request.target, "/v1/pipelines/", "/requests") : std::string();
-	const bool asks = _request.method == "GET" || _request.method == "DELETE";
-	const std::string ticket = asks ? pathPart(_request.target, "/v1/requests/", "") : std::string();
-	if (!tickets && pipeline.empty() && ticket.empty())
+		_request.method == "POST" ? extractPathSegment(_request.target, "/v1/pipelines/", "/requests") : std::string();
+	const bool isQueryOrCancel = _request.method == "GET" || _request.method == "DELETE";
+	const std::string ticket =
+		isQueryOrCancel ? extractPathSegment(_request.target, "/v1/requests/", "") : std::string();
+	if (!isTicketRequest && pipeline.empty() && ticket.empty())
 	{
 		return false;
 	}
@@ -149,7 +151,7 @@
 			errorResponse(401, "unauthorized", "header Authorization: must be Bearer and a caller's credential"));
 		return true;
 	}
-	if (tickets)
+	if (isTicketRequest)
 	{
 		this->issueTicket(workspace, _reply);
 	}
@@ -159,7 +161,7 @@
 	}
 	else
 	{
-		this->askOrCancel(_request, workspace, ticket, _reply);
+		this->queryOrCancel(_request, workspace, ticket, _reply);
 	}
 	return true;
 }
@@ -181,14 +183,14 @@
 void CallerApi::submit(const HttpRequest& _request, const std::string& _workspace, const std::string& _pipeline,
 					   const std::shared_ptr<HttpReply>& _reply)
 {
-	auto submission = submissionFromBody(_workspace, _pipeline, _request.body);
+	auto submission = parseSubmission(_workspace, _pipeline, _request.body);
 	if (!submission.ok())
 	{
 		_reply->send(errorResponse(400, "bad_request", std::string(submission.status().message())));
 		return;
 	}
 	submission->trace = traceFromHeader(headerValue(_request.headers, "traceparent"));
-	if (!submission->ticketGiven)
+	if (!submission->hasCallerTicket)
 	{
 		auto issued = this->traffic.issueTicket(_workspace);
 		if (!issued.ok())
@@ -198,9 +200,9 @@
 		}
 		submission->ticket = *issued;
 		// Nobody can ask for the outcome of a request without a ticket, so that it ends with its caller.
-		_reply->onGone([&traffic = this->traffic, ticket = *issued] { traffic.callerGone(ticket); });
+		_reply->onGone([&traffic = this->traffic, ticket = *issued] { traffic.onCallerDisconnected(ticket); });
 	}
-	auto sink = sinkFor(submission->stream, _reply);
+	auto sink = makeSink(submission->stream, _reply);
 	const auto issuer = this->traffic.submit(_reply->thread(), *submission, sink);
 	if (!issuer)
 	{
@@ -213,12 +215,12 @@
 	request.pipeline = _pipeline;
 	request.body = _request.body;
 	request.trace = submission->trace.header();
-	const Micros timeout = this->traffic.timeLimit(*submission) + kRelayGrace;
-	this->relay.pass(_reply->thread(), *issuer, std::move(request), timeout, std::move(sink));
+	const Micros timeout = this->traffic.requestTimeout(*submission) + kRelayTimeoutMargin;
+	this->relay.forward(_reply->thread(), *issuer, std::move(request), timeout, std::move(sink));
 }
 
-void CallerApi::askOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
-							const std::shared_ptr<HttpReply>& _reply)
+void CallerApi::queryOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
+							  const std::shared_ptr<HttpReply>& _reply)
 {
 	const auto ticket = ticketFromText(_ticket);
 	if (!ticket.ok())
@@ -226,19 +228,19 @@
 		_reply->send(errorResponse(400, "bad_request", std::string(ticket.status().message())));
 		return;
 	}
-	const bool cancels = _request.method == "DELETE";
-	auto sink = sinkFor(false, _reply);
+	const bool isCancel = _request.method == "DELETE";
+	auto sink = makeSink(false, _reply);
 	const auto issuer =
-		cancels ? this->traffic.cancel(*ticket, _workspace, sink) : this->traffic.look(*ticket, _workspace, sink);
+		isCancel ? this->traffic.cancel(*ticket, _workspace, sink) : this->traffic.query(*ticket, _workspace, sink);
 	if (!issuer)
 	{
 		return;
 	}
 	RelayRequest request;
-	request.kind = cancels ? RelayKind::Cancel : RelayKind::Look;
+	request.kind = isCancel ? RelayKind::Cancel : RelayKind::Look;
 	request.ticket = _ticket;
 	request.workspace = _workspace;
-	this->relay.pass(_reply->thread(), *issuer, std::move(request), kAskTimeout, std::move(sink));
+	this->relay.forward(_reply->thread(), *issuer, std::move(request), kQueryTimeout, std::move(sink));
 }
 
 } // namespace roadferry
--- a/src/caller_api.h
+++ b/src/caller_api.h
@@ -30,8 +30,8 @@
 	void issueTicket(const std::string& _workspace, const std::shared_ptr<HttpReply>& _reply);
 	void submit(const HttpRequest& _request, const std::string& _workspace, const std::string& _pipeline,
 				const std::shared_ptr<HttpReply>& _reply);
-	void askOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
-					 const std::shared_ptr<HttpReply>& _reply);
+	void queryOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
+					   const std::shared_ptr<HttpReply>& _reply);
 
 	const Settings& settings;
 	Traffic& traffic;
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -74,7 +74,7 @@
 	const Micros now = monotonicNow();
 	this->carry(this->membership.tick(now));
 	this->meter.setNodes(this->listed, this->membership.alive(), now);
-	this->traffic.setNodes(this->membership.alive().size());
+	this->traffic.setNodeCount(this->membership.alive().size());
 	this->meter.setDemand(this->traffic.takeDemand());
 	for (const ShareAction& action : this->meter.tick(now))
 	{
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -23,8 +23,8 @@
 public:
 	virtual ~Daemon() = default;
 
-	/// @param[in] _stopped Called when a planned stop is over.
-	virtual absl::Status start(std::function<void()> _stopped) = 0;
+	/// @param[in] _onStopped Called when a planned stop is over.
+	virtual absl::Status start(std::function<void()> _onStopped) = 0;
 
 	/// Begins a planned stop.
 	virtual void drain() = 0;
--- a/src/forward_traffic.cpp
+++ b/src/forward_traffic.cpp
@@ -81,7 +81,7 @@
 
 void ForwardTraffic::start()
 {
-	this->pool.every(0, kTickPeriod, [this] { this->tick(); });
+	this->pool.runEvery(0, kTickPeriod, [this] { this->tick(); });
 }
 
 void ForwardTraffic::setPlan(const std::shared_ptr<const RoutePlan>& _plan)
@@ -422,14 +422,14 @@
 	active->call = this->client.call(0, std::move(spec), std::move(handlers));
 	if (!attempt.inputs.empty())
 	{
-		this->pool.after(0, kFetchTime,
-						 [this, active, number = _attempt.attempt]
-						 {
-							 if (active->attempt == number)
-							 {
-								 this->freeInputs(active);
-							 }
-						 });
+		this->pool.runAfter(0, kFetchTime,
+							[this, active, number = _attempt.attempt]
+							{
+								if (active->attempt == number)
+								{
+									this->freeInputs(active);
+								}
+							});
 	}
 }
 
--- a/src/io_pool.cpp
+++ b/src/io_pool.cpp
@@ -23,24 +23,24 @@
 namespace
 {
 
-using Guard = boost::asio::executor_work_guard<boost::asio::io_context::executor_type>;
+using WorkGuard = boost::asio::executor_work_guard<boost::asio::io_context::executor_type>;
 
 struct Loop
 {
 	boost::asio::io_context context{1};
-	Guard guard = boost::asio::make_work_guard(context);
+	WorkGuard workGuard = boost::asio::make_work_guard(context);
 	std::thread thread;
 };
 
 /// A timer that sets itself again.
-struct Periodic : std::enable_shared_from_this<Periodic>
+struct PeriodicTimer : std::enable_shared_from_this<PeriodicTimer>
 {
-	Periodic(boost::asio::io_context& _context, std::int64_t _period, std::function<void()> _function)
-		: timer(_context), period(_period), function(std::move(_function))
+	PeriodicTimer(boost::asio::io_context& _context, std::int64_t _periodUs, std::function<void()> _function)
+		: timer(_context), period(_periodUs), function(std::move(_function))
 	{
 	}
 
-	void arm()
+	void start()
 	{
 		this->timer.expires_after(this->period);
 		this->timer.async_wait(
@@ -49,7 +49,7 @@
 				if (!_error)
 				{
 					self->function();
-					self->arm();
+					self->start();
 				}
 			});
 	}
@@ -96,9 +96,10 @@
 	boost::asio::post(this->context(_thread), std::move(_function));
 }
 
-void IoPool::after(std::size_t _thread, std::int64_t _delay, std::function<void()> _function)
+void IoPool::runAfter(std::size_t _thread, std::int64_t _delayUs, std::function<void()> _function)
 {
-	auto timer = std::make_shared<boost::asio::steady_timer>(this->context(_thread), std::chrono::microseconds(_delay));
+	auto timer =
+		std::make_shared<boost::asio::steady_timer>(this->context(_thread), std::chrono::microseconds(_delayUs));
 	timer->async_wait(
 		[timer, function = std::move(_function)](const boost::system::error_code& _error)
 		{
@@ -109,10 +110,10 @@
 		});
 }
 
-void IoPool::every(std::size_t _thread, std::int64_t _period, std::function<void()> _function)
+void IoPool::runEvery(std::size_t _thread, std::int64_t _periodUs, std::function<void()> _function)
 {
-	auto periodic = std::make_shared<Periodic>(this->context(_thread), _period, std::move(_function));
-	this->post(_thread, [periodic] { periodic->arm(); });
+	auto periodic = std::make_shared<PeriodicTimer>(this->context(_thread), _periodUs, std::move(_function));
+	this->post(_thread, [periodic] { periodic->start(); });
 }
 
 void IoPool::stop()
--- a/src/io_pool.h
+++ b/src/io_pool.h
@@ -38,12 +38,12 @@
 	void post(std::size_t _thread, std::function<void()> _function);
 
 	/// Runs a function on a thread after some time.
-	/// @param[in] _delay Microseconds.
-	void after(std::size_t _thread, std::int64_t _delay, std::function<void()> _function);
+	/// @param[in] _delayUs Microseconds.
+	void runAfter(std::size_t _thread, std::int64_t _delayUs, std::function<void()> _function);
 
 	/// Runs a function on a thread again and again until the pool is stopped.
-	/// @param[in] _period Time between two runs in microseconds.
-	void every(std::size_t _thread, std::int64_t _period, std::function<void()> _function);
+	/// @param[in] _periodUs Time between two runs in microseconds.
+	void runEvery(std::size_t _thread, std::int64_t _periodUs, std::function<void()> _function);
 
 	/// Ends all loops and joins the threads.
 	void stop();
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -18,11 +18,12 @@
 namespace
 {
 
-constexpr int kReadyPeriodMs = 20;
-constexpr int kDrainPeriodMs = 20;
-constexpr Micros kBalancerNotice = 1500 * kMillisecond; ///< Longest time until the balancer has seen the failed check.
+constexpr int kReadyCheckPeriodMs = 20;
+constexpr int kDrainCheckPeriodMs = 20;
+constexpr Micros kBalancerDetectionTime =
+	1500 * kMillisecond; ///< Longest time until the balancer has seen the failed check.
 
-constexpr Micros kFarewellTime = 300 * kMillisecond; ///< For the last messages to leave.
+constexpr Micros kReportFlushTime = 300 * kMillisecond; ///< For the last messages to leave.
 
 } // namespace
 
@@ -40,19 +41,19 @@
 	this->pool.stop();
 }
 
-absl::Status Node::start(std::function<void()> _stopped)
+absl::Status Node::start(std::function<void()> _onStopped)
 {
-	this->stopped = std::move(_stopped);
+	this->onStopped = std::move(_onStopped);
 	PeerHandlers handlers;
 	handlers.onMessage = [this](const std::string& _peer, const std::string& _bytes)
 	{ this->onPeerMessage(_peer, _bytes); };
 	handlers.onClosed = [this](const std::string& _peer) { this->relay->onPeerClosed(_peer); };
 	this->link = std::make_unique<PeerLink>(this->peerPool, this->settings.peerSecret, handlers);
-	const std::string peerFault =
+	const std::string peerError =
 		this->link->listen(this->settings.ip, this->settings.peerPort, this->settings.peerAnnounce);
-	if (!peerFault.empty())
+	if (!peerError.empty())
 	{
-		return absl::UnavailableError(peerFault);
+		return absl::UnavailableError(peerError);
 	}
 	const auto sendPeer = [this](const std::string& _peer, const PeerMessage& _message)
 	{ this->link->send(_peer, encode(_message)); };
@@ -61,7 +62,7 @@
 	trafficSettings.self = Incarnation{this->link->self(), randomNumber()};
 	trafficSettings.dispatcher = this->settings.dispatcher;
 	trafficSettings.dispatcher.seed = randomNumber();
-	trafficSettings.answerBytes = this->settings.answerBytes;
+	trafficSettings.resultCacheBytes = this->settings.answerBytes;
 	this->traffic =
 		std::make_unique<Traffic>(this->pool, this->client, this->metrics, *this->traces, std::move(trafficSettings));
 	this->relay = std::make_unique<Relay>(this->pool, *this->traffic, sendPeer);
@@ -76,16 +77,16 @@
 		std::make_unique<HttpServer>(this->pool, this->settings.http, this->settings.tls,
 									 [this](const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply)
 									 { this->handle(_request, _reply); });
-	const std::string fault = this->server->listen(this->settings.ip, this->settings.port);
-	if (!fault.empty())
+	const std::string error = this->server->listen(this->settings.ip, this->settings.port);
+	if (!error.empty())
 	{
-		return absl::UnavailableError(fault);
+		return absl::UnavailableError(error);
 	}
 	this->traffic->start();
 	this->control->start();
 	this->view->start();
 	QObject::connect(&this->readyTimer, &QTimer::timeout, [this] { this->isReady = this->control->ready(); });
-	this->readyTimer.start(kReadyPeriodMs);
+	this->readyTimer.start(kReadyCheckPeriodMs);
 	return absl::OkStatus();
 }
 
@@ -105,10 +106,10 @@
 
 void Node::handleHealth(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply)
 {
-	const bool well = _request.target == "/health" || (this->isReady && !this->leaving);
+	const bool isHealthy = _request.target == "/health" || (this->isReady && !this->stopRequested);
 	HttpResponse response;
-	response.status = well ? 200 : 503;
-	response.body = well ? "{\"ready\":true}" : "{\"ready\":false}";
+	response.status = isHealthy ? 200 : 503;
+	response.body = isHealthy ? "{\"ready\":true}" : "{\"ready\":false}";
 	_reply->send(std::move(response));
 }
 
@@ -131,7 +132,7 @@
 			{ onControl([this, _peer, _typed] { this->control->onTableAsk(_peer, _typed); }); },
 			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
 			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
-			[&](const Farewell& _typed) { this->traffic->hearFarewell(_typed); },
+			[&](const Farewell& _typed) { this->traffic->onShutdownReport(_typed); },
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->view->onGossip(_peer, _typed); }); },
 			[&](const DemandReport& _typed)
 			{ onControl([this, _peer, _typed] { this->view->onDemand(_peer, _typed); }); },
@@ -152,14 +153,14 @@
 
 void Node::drain()
 {
-	if (this->leaving.exchange(true))
+	if (this->stopRequested.exchange(true))
 	{
 		return;
 	}
 	logInfo("node", "planned stop begins");
-	this->drainBegan = monotonicNow();
-	QObject::connect(&this->drainTimer, &QTimer::timeout, [this] { this->awaitIdle(); });
-	this->drainTimer.start(kDrainPeriodMs);
+	this->drainStartedAt = monotonicNow();
+	QObject::connect(&this->drainTimer, &QTimer::timeout, [this] { this->continueDrain(); });
+	this->drainTimer.start(kDrainCheckPeriodMs);
 }
 
 void Node::reload()
@@ -167,10 +168,10 @@
 	logInfo("node", "settings are read at the next start");
 }
 
-void Node::awaitIdle()
+void Node::continueDrain()
 {
-	const Micros waited = monotonicNow() - this->drainBegan;
-	if (waited < kBalancerNotice)
+	const Micros waited = monotonicNow() - this->drainStartedAt;
+	if (waited < kBalancerDetectionTime)
 	{
 		return;
 	}
@@ -181,31 +182,31 @@
 	{
 		return;
 	}
-	if (this->farewellAt == 0)
+	if (this->shutdownReportSentAt == 0)
 	{
-		this->sayFarewell();
+		this->sendShutdownReport();
 		return;
 	}
-	if (monotonicNow() - this->farewellAt < kFarewellTime)
+	if (monotonicNow() - this->shutdownReportSentAt < kReportFlushTime)
 	{
 		return;
 	}
 	this->drainTimer.stop();
 	logInfo("node", absl::StrCat("planned stop ends with ", this->traffic->inFlight(), " requests in flight"));
-	if (this->stopped)
+	if (this->onStopped)
 	{
-		this->stopped();
+		this->onStopped();
 	}
 }
 
-void Node::sayFarewell()
+void Node::sendShutdownReport()
 {
-	this->farewellAt = monotonicNow();
+	this->shutdownReportSentAt = monotonicNow();
 	this->traffic->drain();
-	const Farewell word = this->traffic->farewell();
+	const Farewell report = this->traffic->shutDown();
 	for (const std::string& peer : this->control->peers())
 	{
-		this->link->send(peer, encode(word));
+		this->link->send(peer, encode(report));
 	}
 	this->view->leave();
 }
--- a/src/node.h
+++ b/src/node.h
@@ -28,9 +28,9 @@
 	Node& operator=(const Node&) = delete;
 
 	/// Listens and begins to work.
-	/// @param[in] _stopped Called when a planned stop has ended.
+	/// @param[in] _onStopped Called when a planned stop has ended.
 	/// @returns Ok, or what went wrong.
-	absl::Status start(std::function<void()> _stopped) override;
+	absl::Status start(std::function<void()> _onStopped) override;
 
 	/// Begins a planned stop: fails the balancer's check, takes no new connections once the balancer has
 	/// noticed, and ends when all requests are answered.
@@ -46,8 +46,8 @@
 	void handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 	void handleHealth(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 	void onPeerMessage(const std::string& _peer, const std::string& _bytes);
-	void awaitIdle();
-	void sayFarewell();
+	void continueDrain();
+	void sendShutdownReport();
 
 	Settings settings;
 	QObject controlThread; ///< Receives what is to run on the control thread.
@@ -66,10 +66,10 @@
 	std::unique_ptr<OperatorApi> operatorApi;
 	std::unique_ptr<HttpServer> server;
 	std::atomic<bool> isReady{false};
-	std::atomic<bool> leaving{false};
-	std::function<void()> stopped;
-	Micros drainBegan = 0;
-	Micros farewellAt = 0;
+	std::atomic<bool> stopRequested{false};
+	std::function<void()> onStopped;
+	Micros drainStartedAt = 0;
+	Micros shutdownReportSentAt = 0;
 	QTimer readyTimer;
 	QTimer drainTimer;
 };
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -229,7 +229,7 @@
 	return QJsonObject{{"node", text(this->traffic.self().node)},
 					   {"failure_domain", text(this->settings.failureDomain)},
 					   {"ready", this->control.ready()},
-					   {"draining", this->traffic.draining()},
+					   {"draining", this->traffic.isDraining()},
 					   {"table_offset", static_cast<qint64>(this->control.log().table().snapshot().offset)},
 					   {"in_force_offset", static_cast<qint64>(this->view.inForce())},
 					   {"members", members},
--- a/src/peer_link.cpp
+++ b/src/peer_link.cpp
@@ -371,7 +371,7 @@
 	const auto endpoint = this->impl->server.get_local_endpoint(ignored);
 	this->impl->selfAddress = _announced.empty() ? _ip + ":" + std::to_string(endpoint.port()) : _announced;
 	this->impl->server.start_accept(error);
-	this->impl->pool.every(0, kSilenceCheckPeriod, [impl = this->impl] { impl->checkSilence(); });
+	this->impl->pool.runEvery(0, kSilenceCheckPeriod, [impl = this->impl] { impl->checkSilence(); });
 	return error ? "peer listen: " + error.message() : std::string();
 }
 
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -25,12 +25,12 @@
 	{
 	}
 
-	void token(std::int64_t _position, const std::string& _text) override
+	void writeToken(std::int64_t _position, const std::string& _text) override
 	{
 		this->send(this->peer, RelayToken{this->relay, _position, _text});
 	}
 
-	void result(unsigned _status, Micros _retryAfter, const std::string& _json) override
+	void writeResult(unsigned _status, Micros _retryAfter, const std::string& _json) override
 	{
 		this->send(this->peer, RelayResult{this->relay, static_cast<std::int64_t>(_status), _retryAfter, _json});
 	}
@@ -41,14 +41,14 @@
 	std::function<void(const std::string&, const PeerMessage&)> send;
 };
 
-void giveOutcome(AnswerSink& _sink, const std::string& _ticket, const Outcome& _outcome)
+void writeOutcome(AnswerSink& _sink, const std::string& _ticket, const Outcome& _outcome)
 {
 	QJsonObject object = toJson(_outcome);
 	object["request"] = QString::fromStdString(_ticket);
-	_sink.result(httpStatusOf(_outcome), _outcome.retryAfter, toText(object));
+	_sink.writeResult(httpStatusOf(_outcome), _outcome.retryAfter, toText(object));
 }
 
-Outcome unreachable()
+Outcome issuerUnreachable()
 {
 	return Outcome{Verdict::Unknown, Reason::IssuerUnreachable, false, 0, {}};
 }
@@ -60,21 +60,21 @@
 {
 }
 
-void Relay::pass(std::size_t _thread, const Incarnation& _issuer, RelayRequest _request, Micros _timeout,
-				 std::shared_ptr<AnswerSink> _sink)
+void Relay::forward(std::size_t _thread, const Incarnation& _issuer, RelayRequest _request, Micros _timeout,
+					std::shared_ptr<AnswerSink> _sink)
 {
 	std::uint64_t relay = 0;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
 		relay = ++this->lastRelay;
-		this->pending.emplace(relay, Pending{_thread, _issuer.node, _request.ticket, std::move(_sink)});
+		this->pending.emplace(relay, PendingCall{_thread, _issuer.node, _request.ticket, std::move(_sink)});
 	}
 	_request.relay = relay;
 	this->send(_issuer.node, _request);
-	this->pool.after(_thread, _timeout, [this, relay] { this->fail(relay); });
+	this->pool.runAfter(_thread, _timeout, [this, relay] { this->fail(relay); });
 }
 
-std::optional<Relay::Pending> Relay::take(std::uint64_t _relay)
+std::optional<Relay::PendingCall> Relay::takePending(std::uint64_t _relay)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
 	const auto found = this->pending.find(_relay);
@@ -82,17 +82,18 @@
 	{
 		return std::nullopt;
 	}
-	Pending taken = std::move(found->second);
+	PendingCall taken = std::move(found->second);
 	this->pending.erase(found);
 	return taken;
 }
 
 void Relay::fail(std::uint64_t _relay)
 {
-	const std::optional<Pending> taken = this->take(_relay);
+	const std::optional<PendingCall> taken = this->takePending(_relay);
 	if (taken)
 	{
-		this->pool.post(taken->thread, [entry = *taken] { giveOutcome(*entry.sink, entry.ticket, unreachable()); });
+		this->pool.post(taken->thread,
+						[entry = *taken] { writeOutcome(*entry.sink, entry.ticket, issuerUnreachable()); });
 	}
 }
 
@@ -102,41 +103,41 @@
 	const auto ticket = ticketFromText(_request.ticket);
 	if (!ticket.ok())
 	{
-		giveOutcome(*sink, _request.ticket, unreachable());
+		writeOutcome(*sink, _request.ticket, issuerUnreachable());
 		return;
 	}
-	std::optional<Incarnation> elsewhere;
+	std::optional<Incarnation> otherIssuer;
 	if (_request.kind == RelayKind::Look)
 	{
-		elsewhere = this->traffic.look(*ticket, _request.workspace, sink);
+		otherIssuer = this->traffic.query(*ticket, _request.workspace, sink);
 	}
 	else if (_request.kind == RelayKind::Cancel)
 	{
-		elsewhere = this->traffic.cancel(*ticket, _request.workspace, sink);
+		otherIssuer = this->traffic.cancel(*ticket, _request.workspace, sink);
 	}
 	else
 	{
-		auto submission = submissionFromBody(_request.workspace, _request.pipeline, _request.body);
+		auto submission = parseSubmission(_request.workspace, _request.pipeline, _request.body);
 		if (!submission.ok())
 		{
-			giveOutcome(*sink, _request.ticket, unreachable());
+			writeOutcome(*sink, _request.ticket, issuerUnreachable());
 			return;
 		}
 		submission->trace = traceFromHeader(_request.trace);
 		const std::size_t thread = this->nextThread++ % this->pool.size();
 		this->pool.post(thread,
-						[this, thread, given = *std::move(submission), sink, text = _request.ticket]
+						[this, thread, submission = *std::move(submission), sink, text = _request.ticket]
 						{
-							if (this->traffic.submit(thread, given, sink))
+							if (this->traffic.submit(thread, submission, sink))
 							{
-								giveOutcome(*sink, text, unreachable());
+								writeOutcome(*sink, text, issuerUnreachable());
 							}
 						});
 	}
-	if (elsewhere)
+	if (otherIssuer)
 	{
 		// The address is the issuer's, the incarnation is not: that process is gone, and what it did cannot be known.
-		giveOutcome(*sink, _request.ticket, unreachable());
+		writeOutcome(*sink, _request.ticket, issuerUnreachable());
 	}
 }
 
@@ -149,18 +150,18 @@
 		return;
 	}
 	this->pool.post(found->second.thread,
-					[sink = found->second.sink, token = _token] { sink->token(token.position, token.text); });
+					[sink = found->second.sink, token = _token] { sink->writeToken(token.position, token.text); });
 }
 
 void Relay::onResult(const RelayResult& _result)
 {
-	const std::optional<Pending> taken = this->take(_result.relay);
+	const std::optional<PendingCall> taken = this->takePending(_result.relay);
 	if (!taken)
 	{
 		return;
 	}
 	this->pool.post(taken->thread, [sink = taken->sink, result = _result]
-					{ sink->result(static_cast<unsigned>(result.status), result.retryAfter, result.json); });
+					{ sink->writeResult(static_cast<unsigned>(result.status), result.retryAfter, result.json); });
 }
 
 void Relay::onPeerClosed(const std::string& _peer)
--- a/src/relay.h
+++ b/src/relay.h
@@ -28,8 +28,8 @@
 	/// @param[in] _request What to pass on; the number is set here.
 	/// @param[in] _timeout When to stop waiting, from now.
 	/// @param[in] _sink Where the answer goes: unknown when the issuer cannot be reached.
-	void pass(std::size_t _thread, const Incarnation& _issuer, RelayRequest _request, Micros _timeout,
-			  std::shared_ptr<AnswerSink> _sink);
+	void forward(std::size_t _thread, const Incarnation& _issuer, RelayRequest _request, Micros _timeout,
+				 std::shared_ptr<AnswerSink> _sink);
 
 	/// Takes a message of another node.
 	void onRequest(const std::string& _peer, const RelayRequest& _request);
@@ -40,7 +40,7 @@
 	void onPeerClosed(const std::string& _peer);
 
 private:
-	struct Pending
+	struct PendingCall
 	{
 		std::size_t thread = 0;
 		std::string peer;
@@ -48,14 +48,14 @@
 		std::shared_ptr<AnswerSink> sink;
 	};
 
-	std::optional<Pending> take(std::uint64_t _relay);
+	std::optional<PendingCall> takePending(std::uint64_t _relay);
 	void fail(std::uint64_t _relay);
 
 	IoPool& pool;
 	Traffic& traffic;
 	std::function<void(const std::string&, const PeerMessage&)> send;
 	std::mutex lock; ///< Guards what follows.
-	std::unordered_map<std::uint64_t, Pending> pending;
+	std::unordered_map<std::uint64_t, PendingCall> pending;
 	std::uint64_t lastRelay = 0;
 	std::size_t nextThread = 0;
 };
--- a/src/result_store.cpp
+++ b/src/result_store.cpp
@@ -15,28 +15,28 @@
 {
 
 /// The tokens are about as large as the text that they make up.
-std::size_t sizeOf(const StoredResult& _result)
+std::size_t approximateBytes(const StoredResult& _result)
 {
 	return 2 * _result.json.size() + sizeof(StoredResult);
 }
 
 } // namespace
 
-ResultStore::ResultStore(std::size_t _bytes) : limit(_bytes)
+ResultStore::ResultStore(std::size_t _capacityBytes) : capacityBytes(_capacityBytes)
 {
 }
 
 void ResultStore::put(std::uint64_t _serial, std::shared_ptr<const StoredResult> _result)
 {
-	this->bytes += sizeOf(*_result);
-	this->order.push_back(_serial);
+	this->usedBytes += approximateBytes(*_result);
+	this->insertionOrder.push_back(_serial);
 	this->results.emplace(_serial, std::move(_result));
-	while (this->bytes > this->limit && this->order.size() > 1)
+	while (this->usedBytes > this->capacityBytes && this->insertionOrder.size() > 1)
 	{
-		const auto oldest = this->results.find(this->order.front());
-		this->bytes -= sizeOf(*oldest->second);
+		const auto oldest = this->results.find(this->insertionOrder.front());
+		this->usedBytes -= approximateBytes(*oldest->second);
 		this->results.erase(oldest);
-		this->order.pop_front();
+		this->insertionOrder.pop_front();
 	}
 }
 
--- a/src/result_store.h
+++ b/src/result_store.h
@@ -28,8 +28,8 @@
 class ResultStore
 {
 public:
-	/// @param[in] _bytes Memory for all results.
-	explicit ResultStore(std::size_t _bytes);
+	/// @param[in] _capacityBytes Memory for all results.
+	explicit ResultStore(std::size_t _capacityBytes);
 
 	void put(std::uint64_t _serial, std::shared_ptr<const StoredResult> _result);
 
@@ -37,10 +37,10 @@
 	[[nodiscard]] std::shared_ptr<const StoredResult> find(std::uint64_t _serial) const;
 
 private:
-	std::size_t limit;
-	std::size_t bytes = 0;
+	std::size_t capacityBytes;
+	std::size_t usedBytes = 0;
 	std::unordered_map<std::uint64_t, std::shared_ptr<const StoredResult>> results;
-	std::deque<std::uint64_t> order;
+	std::deque<std::uint64_t> insertionOrder;
 };
 
 } // namespace roadferry
--- a/src/stage_call.cpp
+++ b/src/stage_call.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::size_t kEventLimit = 1024 * 1024;
+constexpr std::size_t kMaxEventBytes = 1024 * 1024;
 constexpr unsigned kStatusOk = 200;
 constexpr unsigned kStatusUnavailable = 503;
 
@@ -25,107 +25,107 @@
 	return QString::fromStdString(_text);
 }
 
-std::string bodyOf(const StageCallSpec& _spec)
+std::string makeBody(const StageCallSpec& _spec)
 {
-	QJsonObject object{{"attempt", text(_spec.attemptText)},
-					   {"request", text(_spec.requestText)},
+	QJsonObject object{{"attempt", text(_spec.attemptId)},
+					   {"request", text(_spec.requestId)},
 					   {"stage", text(_spec.attempt.stage)},
 					   {"once", _spec.attempt.atMostOnce},
 					   {"input", _spec.input}};
-	if (!_spec.previous.isUndefined())
+	if (!_spec.previousOutput.isUndefined())
 	{
-		object["previous"] = _spec.previous;
+		object["previous"] = _spec.previousOutput;
 	}
 	if (_spec.attempt.kind == StageKind::Engine)
 	{
 		object["max_tokens"] = static_cast<qint64>(_spec.maxTokens);
-		object["resume"] = static_cast<qint64>(_spec.resume);
+		object["resume"] = static_cast<qint64>(_spec.resumePosition);
 	}
 	return toText(object);
 }
 
 /// Reads an engine's stream of events, and the answer of a stage that does not stream.
-class AnswerReader
+class ResponseReader
 {
 public:
-	AnswerReader(std::string _attempt, std::int64_t _resume, StageCallHandlers _handlers)
-		: attempt(std::move(_attempt)), handlers(std::move(_handlers)), position(_resume)
+	ResponseReader(std::string _attempt, std::int64_t _resumePosition, StageCallHandlers _handlers)
+		: attempt(std::move(_attempt)), handlers(std::move(_handlers)), position(_resumePosition)
 	{
 	}
 
 	/// Takes a piece of a stream.
-	void data(const std::string& _piece)
+	void append(const std::string& _piece)
 	{
 		this->buffer += _piece;
 		std::size_t end = this->buffer.find("\n\n");
 		while (end != std::string::npos)
 		{
-			this->event(this->buffer.substr(0, end));
+			this->parseEvent(this->buffer.substr(0, end));
 			this->buffer.erase(0, end + 2);
 			end = this->buffer.find("\n\n");
 		}
-		if (this->buffer.size() > kEventLimit)
+		if (this->buffer.size() > kMaxEventBytes)
 		{
-			this->spoil("event larger than 1 MB");
+			this->setError("event larger than 1 MB");
 		}
 	}
 
 	/// Takes the end of the call.
 	void end(const CallEnd& _end, bool _streams)
 	{
-		this->handlers.onEnd(this->resultOf(_end, _streams));
+		this->handlers.onEnd(this->makeResult(_end, _streams));
 	}
 
 private:
-	void spoil(const std::string& _why)
+	void setError(const std::string& _error)
 	{
-		if (this->fault.empty())
+		if (this->error.empty())
 		{
-			this->fault = _why;
+			this->error = _error;
 		}
 	}
 
-	void event(const std::string& _event)
+	void parseEvent(const std::string& _event)
 	{
 		static const std::string s_prefix = "data: ";
-		if (!this->fault.empty() || _event.compare(0, s_prefix.size(), s_prefix) != 0)
+		if (!this->error.empty() || _event.compare(0, s_prefix.size(), s_prefix) != 0)
 		{
 			return;
 		}
 		const auto object = parseObject(_event.substr(s_prefix.size()));
 		if (!object.ok())
 		{
-			this->spoil("event is not JSON");
+			this->setError("event is not JSON");
 			return;
 		}
 		if (object->value("attempt").toString() != text(this->attempt))
 		{
-			this->spoil("answer of another attempt");
+			this->setError("answer of another attempt");
 			return;
 		}
 		if (object->value("done").toBool())
 		{
-			this->done = object->value("tokens").toInteger(-1) == this->position;
+			this->isComplete = object->value("tokens").toInteger(-1) == this->position;
 			return;
 		}
-		this->token(*object);
+		this->parseToken(*object);
 	}
 
-	void token(const QJsonObject& _object)
+	void parseToken(const QJsonObject& _object)
 	{
 		if (_object.value("position").toInteger(-1) != this->position)
 		{
-			this->spoil("gap or overlap in the stream");
+			this->setError("gap or overlap in the stream");
 			return;
 		}
 		this->handlers.onToken(this->position, _object.value("text").toString().toStdString());
 		this->position += 1;
 	}
 
-	StageResult resultOf(const CallEnd& _end, bool _streams)
+	StageResult makeResult(const CallEnd& _end, bool _streams)
 	{
 		StageResult result;
-		result.error = this->fault.empty() ? _end.error : this->fault;
+		result.error = this->error.empty() ? _end.error : this->error;
 		if (_end.result == CallResult::NotSent)
 		{
 			result.end = AttemptNotSent{};
@@ -136,7 +136,7 @@
 		{
 			return result;
 		}
-		if (_end.status == kStatusUnavailable && this->notBegun(_end.body))
+		if (_end.status == kStatusUnavailable && this->isNotStarted(_end.body))
 		{
 			result.end = AttemptRefused{};
 			result.error = "refused by the endpoint";
@@ -149,21 +149,21 @@
 		}
 		if (_streams)
 		{
-			return this->streamed(std::move(result));
+			return this->streamResult(std::move(result));
 		}
-		return this->whole(std::move(result), _end.body);
+		return this->bodyResult(std::move(result), _end.body);
 	}
 
-	[[nodiscard]] bool notBegun(const std::string& _body) const
+	[[nodiscard]] bool isNotStarted(const std::string& _body) const
 	{
 		// A stream hands its body over piece by piece, so that it is in the buffer.
 		const auto object = parseObject(_body.empty() ? this->buffer : _body);
 		return object.ok() && object->value("not_begun").toBool();
 	}
 
-	StageResult streamed(StageResult _result) const
+	StageResult streamResult(StageResult _result) const
 	{
-		if (this->done && this->fault.empty())
+		if (this->isComplete && this->error.empty())
 		{
 			_result.end = AttemptAnswered{};
 			return _result;
@@ -175,7 +175,7 @@
 		return _result;
 	}
 
-	StageResult whole(StageResult _result, const std::string& _body) const
+	StageResult bodyResult(StageResult _result, const std::string& _body) const
 	{
 		const auto object = parseObject(_body);
 		if (!object.ok())
@@ -196,9 +196,9 @@
 	std::string attempt;
 	StageCallHandlers handlers;
 	std::string buffer;
-	std::string fault;
+	std::string error;
 	std::int64_t position;
-	bool done = false;
+	bool isComplete = false;
 };
 
 } // namespace
@@ -207,7 +207,7 @@
 										 StageCallHandlers _handlers)
 {
 	const bool streams = _spec.attempt.kind == StageKind::Engine;
-	auto reader = std::make_shared<AnswerReader>(_spec.attemptText, _spec.resume, std::move(_handlers));
+	auto reader = std::make_shared<ResponseReader>(_spec.attemptId, _spec.resumePosition, std::move(_handlers));
 	CallSpec call;
 	call.address = _spec.attempt.address;
 	call.timeout = _spec.timeout;
@@ -215,11 +215,11 @@
 	call.request.method = "POST";
 	call.request.target = "/v1/run";
 	call.request.headers = {{"Content-Type", "application/json"}, {"traceparent", _spec.trace.header()}};
-	call.request.body = bodyOf(_spec);
+	call.request.body = makeBody(_spec);
 	CallHandlers handlers;
 	if (streams)
 	{
-		handlers.onData = [reader](const std::string& _piece) { reader->data(_piece); };
+		handlers.onData = [reader](const std::string& _piece) { reader->append(_piece); };
 	}
 	handlers.onEnd = [reader, streams](const CallEnd& _end) { reader->end(_end, streams); };
 	return _client.call(_thread, std::move(call), std::move(handlers));
--- a/src/stage_call.h
+++ b/src/stage_call.h
@@ -22,12 +22,12 @@
 struct StageCallSpec
 {
 	StartAttempt attempt;
-	std::string attemptText; ///< Id that the endpoint has to echo; never used twice by any node.
-	std::string requestText;
-	QJsonValue input;    ///< The caller's input.
-	QJsonValue previous; ///< Output of the stage before, undefined for the first.
+	std::string attemptId; ///< Id that the endpoint has to echo; never used twice by any node.
+	std::string requestId;
+	QJsonValue input;          ///< The caller's input.
+	QJsonValue previousOutput; ///< Output of the stage before, undefined for the first.
 	std::int64_t maxTokens = 0;
-	std::int64_t resume = 0; ///< Tokens that the caller has already.
+	std::int64_t resumePosition = 0; ///< Tokens that the caller has already.
 	Micros timeout = 0;
 	TraceContext trace;
 };
--- a/src/standin_balancer.cpp
+++ b/src/standin_balancer.cpp
@@ -212,7 +212,7 @@
 		return error.message();
 	}
 	this->impl->accept();
-	this->impl->pool.every(0, kCheckPeriod, [impl = this->impl] { impl->check(); });
+	this->impl->pool.runEvery(0, kCheckPeriod, [impl = this->impl] { impl->check(); });
 	return {};
 }
 
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -160,7 +160,7 @@
 		{
 			delay += this->faults.milliseconds();
 		}
-		this->pool.after(0, delay * kMillisecondUs, [this, _run] { this->served(_run); });
+		this->pool.runAfter(0, delay * kMillisecondUs, [this, _run] { this->served(_run); });
 	}
 
 	void releaseFrozen()
@@ -217,7 +217,7 @@
 		_run->reply->write(eventOf(QJsonObject{
 			{"attempt", text(_run->attempt)}, {"position", static_cast<qint64>(_run->position)}, {"text", token}}));
 		_run->position += 1;
-		this->pool.after(0, this->settings.tokenMs * kMillisecondUs, [this, _run] { this->stream(_run); });
+		this->pool.runAfter(0, this->settings.tokenMs * kMillisecondUs, [this, _run] { this->stream(_run); });
 	}
 
 	void end()
--- a/src/standin_log.cpp
+++ b/src/standin_log.cpp
@@ -43,7 +43,7 @@
 			return;
 		}
 		const std::int64_t delay = fault == FaultMode::Slow ? this->faults.milliseconds() * kMillisecondUs : 0;
-		this->pool.after(0, delay, [this, _request, _reply, fault] { this->serve(_request, _reply, fault); });
+		this->pool.runAfter(0, delay, [this, _request, _reply, fault] { this->serve(_request, _reply, fault); });
 	}
 
 private:
--- a/src/submission.cpp
+++ b/src/submission.cpp
@@ -18,14 +18,14 @@
 namespace
 {
 
-constexpr std::int64_t kDeadlineMostMs = 600'000;
-constexpr std::int64_t kTokensMost = 1'000'000;
-constexpr std::size_t kTextLimit = 256;
+constexpr std::int64_t kMaxDeadlineMs = 600'000;
+constexpr std::int64_t kMaxTokens = 1'000'000;
+constexpr std::size_t kMaxTextLength = 256;
 
 } // namespace
 
-absl::StatusOr<Submission> submissionFromBody(const std::string& _workspace, const std::string& _pipeline,
-											  const std::string& _body)
+absl::StatusOr<Submission> parseSubmission(const std::string& _workspace, const std::string& _pipeline,
+										   const std::string& _body)
 {
 	const auto object = parseObject(_body);
 	if (!object.ok())
@@ -36,24 +36,24 @@
 	reader.onlyFields({"workspace", "deadline_ms", "repeatable", "ticket", "stream", "prompt_tokens", "max_tokens",
 					   "prefix", "input"});
 	Submission submission;
-	submission.workspace = reader.textOr("workspace", kTextLimit, _workspace);
+	submission.workspace = reader.textOr("workspace", kMaxTextLength, _workspace);
 	if (submission.workspace != _workspace)
 	{
 		reader.fault("workspace", "the workspace of the credential");
 	}
 	submission.pipeline = _pipeline;
-	const std::int64_t deadlineMs = reader.integerOr("deadline_ms", 1, kDeadlineMostMs, 0);
+	const std::int64_t deadlineMs = reader.integerOr("deadline_ms", 1, kMaxDeadlineMs, 0);
 	if (deadlineMs > 0)
 	{
-		submission.deadline = deadlineMs * kMillisecond;
+		submission.timeout = deadlineMs * kMillisecond;
 	}
 	submission.repeatable = reader.booleanOr("repeatable", true);
 	submission.stream = reader.booleanOr("stream", false);
-	submission.promptTokens = reader.integerOr("prompt_tokens", 0, kTokensMost, 0);
-	submission.maxTokens = reader.integerOr("max_tokens", 0, kTokensMost, 0);
-	const std::string prefix = reader.textOr("prefix", kTextLimit, "");
-	submission.prefix = prefix.empty() ? 0 : XXH3_64bits(prefix.data(), prefix.size());
-	const std::string ticket = reader.textOr("ticket", kTextLimit, "");
+	submission.promptTokens = reader.integerOr("prompt_tokens", 0, kMaxTokens, 0);
+	submission.maxTokens = reader.integerOr("max_tokens", 0, kMaxTokens, 0);
+	const std::string prefix = reader.textOr("prefix", kMaxTextLength, "");
+	submission.prefixHash = prefix.empty() ? 0 : XXH3_64bits(prefix.data(), prefix.size());
+	const std::string ticket = reader.textOr("ticket", kMaxTextLength, "");
 	submission.input = object->value("input");
 	if (submission.input.isUndefined())
 	{
@@ -75,10 +75,10 @@
 			return parsed.status();
 		}
 		submission.ticket = *std::move(parsed);
-		submission.ticketGiven = true;
+		submission.hasCallerTicket = true;
 	}
-	const std::string digested = absl::StrCat(_pipeline, "\n", _body);
-	submission.digest = XXH3_64bits(digested.data(), digested.size());
+	const std::string digestInput = absl::StrCat(_pipeline, "\n", _body);
+	submission.bodyDigest = XXH3_64bits(digestInput.data(), digestInput.size());
 	return submission;
 }
 
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -35,7 +35,7 @@
 	std::string stage;
 	std::string endpoint;
 	std::int64_t attempts = 0;
-	Micros held = 0; ///< Time that endpoints were held, all attempts together.
+	Micros heldTime = 0; ///< Time that endpoints were held, all attempts together.
 	std::int64_t tokens = 0;
 	std::string error; ///< Of the last attempt that failed.
 };
@@ -45,7 +45,7 @@
 	QJsonObject object{{"stage", text(_report.stage)},
 					   {"endpoint", text(_report.endpoint)},
 					   {"attempts", static_cast<qint64>(_report.attempts)},
-					   {"held_ms", static_cast<double>(_report.held) / static_cast<double>(kMillisecond)},
+					   {"held_ms", static_cast<double>(_report.heldTime) / static_cast<double>(kMillisecond)},
 					   {"tokens", static_cast<qint64>(_report.tokens)}};
 	if (!_report.error.empty())
 	{
@@ -57,7 +57,7 @@
 } // namespace
 
 /// A request under way. Touched on its own thread only, apart from the fields that never change.
-struct Traffic::Active
+struct Traffic::ActiveRequest
 {
 	std::uint64_t id = 0;
 	std::size_t thread = 0;
@@ -65,23 +65,23 @@
 	std::string ticketText;
 	Submission submission;
 	RequestSpec spec;
-	Micros arrived = 0;
+	Micros arrivedAt = 0;
 	Span span;
 
 	std::vector<std::shared_ptr<AnswerSink>> sinks;
 	std::vector<std::string> tokens;
-	QJsonValue previous = QJsonValue(QJsonValue::Undefined);
+	QJsonValue previousOutput = QJsonValue(QJsonValue::Undefined);
 	std::vector<StageReport> stages;
-	std::uint64_t attempt = 0; ///< The one whose answer is wanted, 0 for none.
-	Micros attemptBegan = 0;
+	std::uint64_t currentAttempt = 0; ///< The one whose answer is wanted, 0 for none.
+	Micros attemptStartedAt = 0;
 	Span attemptSpan;
 	std::shared_ptr<HttpCall> call;
 };
 
 Traffic::Traffic(IoPool& _pool, HttpClient& _client, Metrics& _metrics, TraceWriter& _traces, TrafficSettings _settings)
 	: pool(_pool), client(_client), metrics(_metrics), traces(_traces), settings(std::move(_settings)),
-	  dispatcher(settings.dispatcher), tickets(settings.self, settings.tickets), results(settings.answerBytes),
-	  farewells(settings.tickets.unusedLife + settings.tickets.outcomeLife), table(std::make_shared<Table>())
+	  dispatcher(settings.dispatcher), tickets(settings.self, settings.tickets), results(settings.resultCacheBytes),
+	  shutdownReports(settings.tickets.unusedLife + settings.tickets.outcomeLife), table(std::make_shared<Table>())
 {
 }
 
@@ -89,7 +89,7 @@
 
 void Traffic::start()
 {
-	this->pool.every(0, kTickPeriod, [this] { this->tick(); });
+	this->pool.runEvery(0, kTickPeriod, [this] { this->tick(); });
 }
 
 void Traffic::tick()
@@ -110,36 +110,37 @@
 	return this->tickets.issue(_workspace, nonce, monotonicNow());
 }
 
-Micros Traffic::limitOf(const Submission& _submission) const
+Micros Traffic::timeoutOf(const Submission& _submission) const
 {
 	const PipelineRow* pipeline = this->table->pipeline(_submission.pipeline);
-	const Micros most = pipeline == nullptr ? kSecond : pipeline->deadlineMs * kMillisecond;
-	return std::min(most, _submission.deadline.value_or(most));
+	const Micros pipelineTimeout = pipeline == nullptr ? kSecond : pipeline->deadlineMs * kMillisecond;
+	return std::min(pipelineTimeout, _submission.timeout.value_or(pipelineTimeout));
 }
 
-Micros Traffic::timeLimit(const Submission& _submission) const
+Micros Traffic::requestTimeout(const Submission& _submission) const
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->limitOf(_submission);
+	return this->timeoutOf(_submission);
 }
 
-Traffic::ActivePointer Traffic::makeActive(std::size_t _thread, const Submission& _submission, const Ticket& _ticket)
+Traffic::ActivePointer Traffic::makeActiveRequest(std::size_t _thread, const Submission& _submission,
+												  const Ticket& _ticket)
 {
-	auto active = std::make_shared<Active>();
+	auto active = std::make_shared<ActiveRequest>();
 	active->id = ++this->lastRequest;
 	active->thread = _thread;
 	active->ticket = _ticket;
 	active->ticketText = toText(_ticket);
 	active->submission = _submission;
-	active->arrived = monotonicNow();
+	active->arrivedAt = monotonicNow();
 	active->spec = RequestSpec{active->id,
 							   _submission.workspace,
 							   _submission.pipeline,
-							   active->arrived + this->limitOf(_submission),
+							   active->arrivedAt + this->timeoutOf(_submission),
 							   _submission.repeatable,
 							   _submission.promptTokens,
 							   _submission.maxTokens,
-							   _submission.prefix};
+							   _submission.prefixHash};
 	active->span.context = childOf(_submission.trace);
 	active->span.parentSpanId = _submission.trace.spanId;
 	active->span.name = absl::StrCat("request ", _submission.pipeline);
@@ -147,12 +148,12 @@
 	return active;
 }
 
-void Traffic::begin(std::size_t _thread, const ActivePointer& _active, Actions& _actions)
+void Traffic::startRequest(std::size_t _thread, const ActivePointer& _active, Actions& _actions)
 {
-	this->actives.emplace(_active->id, _active);
+	this->activeRequests.emplace(_active->id, _active);
 	this->requestOfSerial.emplace(_active->ticket.serial, _active->id);
 	_active->thread = _thread;
-	_actions = this->dispatcher.submit(_active->spec, _active->arrived);
+	_actions = this->dispatcher.submit(_active->spec, _active->arrivedAt);
 }
 
 std::optional<Incarnation> Traffic::submit(std::size_t _thread, const Submission& _submission,
@@ -164,12 +165,12 @@
 	Actions actions;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		decision = this->tickets.present(ticket, _submission.workspace, _submission.digest, now);
+		decision = this->tickets.present(ticket, _submission.workspace, _submission.bodyDigest, now);
 		if (std::holds_alternative<TicketRun>(decision))
 		{
-			const ActivePointer active = this->makeActive(_thread, _submission, ticket);
+			const ActivePointer active = this->makeActiveRequest(_thread, _submission, ticket);
 			active->sinks.push_back(_sink);
-			this->begin(_thread, active, actions);
+			this->startRequest(_thread, active, actions);
 		}
 	}
 	if (std::holds_alternative<TicketRun>(decision))
@@ -177,43 +178,44 @@
 		this->perform(_thread, actions);
 		return std::nullopt;
 	}
-	return this->answerDecision(ticket, decision, _sink);
+	return this->applyDecision(ticket, decision, _sink);
 }
 
-std::optional<Incarnation> Traffic::answerDecision(const Ticket& _ticket, const TicketDecision& _decision,
-												   const std::shared_ptr<AnswerSink>& _sink)
+std::optional<Incarnation> Traffic::applyDecision(const Ticket& _ticket, const TicketDecision& _decision,
+												  const std::shared_ptr<AnswerSink>& _sink)
 {
 	const std::string ticketText = roadferry::toText(_ticket);
 	std::optional<Incarnation> issuer;
 	std::visit(
 		Overloaded{
 			[](const TicketRun&) {},
-			[&](const TicketAttach&) { this->attach(_ticket.serial, ticketText, Outcome{}, _sink); },
-			[&](const TicketReplay& _typed) { this->attach(_ticket.serial, ticketText, _typed.outcome, _sink); },
-			[&](const TicketElsewhere&) { issuer = this->elsewhere(_ticket, _sink); },
-			[&](const TicketRefused& _typed) { this->deliverStored(0, ticketText, _typed.outcome, _sink); },
+			[&](const TicketAttach&) { this->attachSink(_ticket.serial, ticketText, Outcome{}, _sink); },
+			[&](const TicketReplay& _typed) { this->attachSink(_ticket.serial, ticketText, _typed.outcome, _sink); },
+			[&](const TicketElsewhere&) { issuer = this->answerForOtherIssuer(_ticket, _sink); },
+			[&](const TicketRefused& _typed) { this->sendStoredResult(0, ticketText, _typed.outcome, _sink); },
 		},
 		_decision);
 	return issuer;
 }
 
-std::optional<Incarnation> Traffic::elsewhere(const Ticket& _ticket, const std::shared_ptr<AnswerSink>& _sink)
+std::optional<Incarnation> Traffic::answerForOtherIssuer(const Ticket& _ticket,
+														 const std::shared_ptr<AnswerSink>& _sink)
 {
 	std::optional<Outcome> outcome;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		outcome = this->farewells.look(_ticket, monotonicNow());
+		outcome = this->shutdownReports.look(_ticket, monotonicNow());
 	}
 	if (!outcome)
 	{
 		return _ticket.issuer;
 	}
-	this->deliverStored(0, roadferry::toText(_ticket), *outcome, _sink);
+	this->sendStoredResult(0, roadferry::toText(_ticket), *outcome, _sink);
 	return std::nullopt;
 }
 
-void Traffic::attach(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
-					 const std::shared_ptr<AnswerSink>& _sink)
+void Traffic::attachSink(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
+						 const std::shared_ptr<AnswerSink>& _sink)
 {
 	ActivePointer active;
 	{
@@ -221,12 +223,12 @@
 		const auto request = this->requestOfSerial.find(_serial);
 		if (request != this->requestOfSerial.end())
 		{
-			active = this->actives.at(request->second);
+			active = this->activeRequests.at(request->second);
 		}
 	}
 	if (active == nullptr)
 	{
-		this->deliverStored(_serial, _ticket, _outcome, _sink);
+		this->sendStoredResult(_serial, _ticket, _outcome, _sink);
 		return;
 	}
 	this->pool.post(active->thread,
@@ -236,24 +238,24 @@
 						Outcome outcome;
 						{
 							const std::lock_guard<std::mutex> guard(this->lock);
-							running = this->actives.count(active->id) > 0;
+							running = this->activeRequests.count(active->id) > 0;
 							outcome = this->tickets.look(active->ticket, active->submission.workspace).second;
 						}
 						if (!running)
 						{
-							this->deliverStored(_serial, _ticket, outcome, _sink);
+							this->sendStoredResult(_serial, _ticket, outcome, _sink);
 							return;
 						}
 						for (std::size_t index = 0; index < active->tokens.size(); ++index)
 						{
-							_sink->token(static_cast<std::int64_t>(index), active->tokens[index]);
+							_sink->writeToken(static_cast<std::int64_t>(index), active->tokens[index]);
 						}
 						active->sinks.push_back(_sink);
 					});
 }
 
-void Traffic::deliverStored(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
-							const std::shared_ptr<AnswerSink>& _sink)
+void Traffic::sendStoredResult(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
+							   const std::shared_ptr<AnswerSink>& _sink)
 {
 	std::shared_ptr<const StoredResult> found;
 	{
@@ -269,17 +271,17 @@
 		{
 			object["answer_expired"] = true;
 		}
-		_sink->result(httpStatusOf(_outcome), _outcome.retryAfter, roadferry::toText(object));
+		_sink->writeResult(httpStatusOf(_outcome), _outcome.retryAfter, roadferry::toText(object));
 		return;
 	}
 	for (std::size_t index = 0; index < found->tokens.size(); ++index)
 	{
-		_sink->token(static_cast<std::int64_t>(index), found->tokens[index]);
+		_sink->writeToken(static_cast<std::int64_t>(index), found->tokens[index]);
 	}
-	_sink->result(found->status, found->retryAfter, found->json);
+	_sink->writeResult(found->status, found->retryAfter, found->json);
 }
 
-void Traffic::onRequestThread(std::size_t _thread, const ActivePointer& _active, std::function<void()> _function)
+void Traffic::runOnRequestThread(std::size_t _thread, const ActivePointer& _active, std::function<void()> _function)
 {
 	if (_thread == _active->thread)
 	{
@@ -298,8 +300,8 @@
 		for (const Action& action : _actions)
 		{
 			const std::uint64_t request = std::visit([](const auto& _typed) { return _typed.request; }, action);
-			const auto found = this->actives.find(request);
-			owners.push_back(found == this->actives.end() ? nullptr : found->second);
+			const auto found = this->activeRequests.find(request);
+			owners.push_back(found == this->activeRequests.end() ? nullptr : found->second);
 		}
 	}
 	for (std::size_t index = 0; index < _actions.size(); ++index)
@@ -309,25 +311,25 @@
 		{
 			continue;
 		}
-		this->onRequestThread(_thread, owner,
-							  [this, owner, action = _actions[index]]
-							  {
-								  std::visit(
-									  Overloaded{
-										  [&](const StartAttempt& _typed) { this->startAttempt(owner, _typed); },
-										  [&](const CancelAttempt& _typed) { this->cancelAttempt(owner, _typed); },
-										  [&](const FinishRequest& _typed) { this->finish(owner, _typed.outcome); },
-									  },
-									  action);
-							  });
+		this->runOnRequestThread(_thread, owner,
+								 [this, owner, action = _actions[index]]
+								 {
+									 std::visit(
+										 Overloaded{
+											 [&](const StartAttempt& _typed) { this->startAttempt(owner, _typed); },
+											 [&](const CancelAttempt& _typed) { this->cancelAttempt(owner, _typed); },
+											 [&](const FinishRequest& _typed) { this->finish(owner, _typed.outcome); },
+										 },
+										 action);
+								 });
 	}
 }
 
 void Traffic::startAttempt(const ActivePointer& _active, const StartAttempt& _attempt)
 {
-	Active& active = *_active;
-	active.attempt = _attempt.attempt;
-	active.attemptBegan = monotonicNow();
+	ActiveRequest& active = *_active;
+	active.currentAttempt = _attempt.attempt;
+	active.attemptStartedAt = monotonicNow();
 	if (active.stages.size() <= _attempt.stageIndex)
 	{
 		active.stages.resize(_attempt.stageIndex + 1);
@@ -345,13 +347,13 @@
 
 	StageCallSpec spec;
 	spec.attempt = _attempt;
-	spec.attemptText = absl::StrCat(absl::Hex(this->settings.self.number), "-", _attempt.attempt);
-	spec.requestText = active.ticketText;
+	spec.attemptId = absl::StrCat(absl::Hex(this->settings.self.number), "-", _attempt.attempt);
+	spec.requestId = active.ticketText;
 	spec.input = active.submission.input;
-	spec.previous = active.previous;
+	spec.previousOutput = active.previousOutput;
 	spec.maxTokens = active.submission.maxTokens;
-	spec.resume = static_cast<std::int64_t>(active.tokens.size());
-	spec.timeout = _attempt.deadline - active.attemptBegan;
+	spec.resumePosition = static_cast<std::int64_t>(active.tokens.size());
+	spec.timeout = _attempt.deadline - active.attemptStartedAt;
 	spec.trace = active.attemptSpan.context;
 
 	StageCallHandlers handlers;
@@ -360,12 +362,12 @@
 		_active->tokens.push_back(_text);
 		for (const auto& sink : _active->sinks)
 		{
-			sink->token(_position, _text);
+			sink->writeToken(_position, _text);
 		}
 	};
 	handlers.onEnd = [this, _active, number = _attempt.attempt, index = _attempt.stageIndex](const StageResult& _result)
 	{
-		if (_active->attempt != number)
+		if (_active->currentAttempt != number)
 		{
 			return;
 		}
@@ -373,39 +375,39 @@
 		ended.error = _result.error;
 		if (std::holds_alternative<AttemptAnswered>(_result.end))
 		{
-			_active->previous = _result.output;
+			_active->previousOutput = _result.output;
 		}
 		_active->attemptSpan.failed = !_result.error.empty();
-		this->attemptEnded(_active, number, _result.end);
+		this->onAttemptEnded(_active, number, _result.end);
 	};
 	active.call = startStageCall(this->client, active.thread, spec, std::move(handlers));
 }
 
 void Traffic::cancelAttempt(const ActivePointer& _active, const CancelAttempt& _attempt)
 {
-	if (_active->attempt != _attempt.attempt)
+	if (_active->currentAttempt != _attempt.attempt)
 	{
 		return;
 	}
-	_active->attempt = 0;
+	_active->currentAttempt = 0;
 	if (_active->call != nullptr)
 	{
 		_active->call->cancel();
 		_active->call = nullptr;
 	}
 	StageReport& report = _active->stages.back();
-	report.held += monotonicNow() - _active->attemptBegan;
+	report.heldTime += monotonicNow() - _active->attemptStartedAt;
 	report.error = "cancelled";
 }
 
-void Traffic::attemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const AttemptEnd& _end)
+void Traffic::onAttemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const AttemptEnd& _end)
 {
 	const Micros now = monotonicNow();
 	StageReport& report = _active->stages.back();
-	const Micros held = now - _active->attemptBegan;
-	report.held += held;
+	const Micros held = now - _active->attemptStartedAt;
+	report.heldTime += held;
 	report.tokens = static_cast<std::int64_t>(_active->tokens.size());
-	_active->attempt = 0;
+	_active->currentAttempt = 0;
 	_active->call = nullptr;
 	_active->attemptSpan.endNs = wallNanoseconds();
 	this->traces.write(_active->attemptSpan);
@@ -422,7 +424,7 @@
 void Traffic::finish(const ActivePointer& _active, const Outcome& _outcome)
 {
 	const Micros now = monotonicNow();
-	const Micros elapsed = now - _active->arrived;
+	const Micros elapsed = now - _active->arrivedAt;
 	QJsonObject object = roadferry::toJson(_outcome);
 	object["request"] = text(_active->ticketText);
 	object["elapsed_ms"] = static_cast<double>(elapsed) / static_cast<double>(kMillisecond);
@@ -437,7 +439,7 @@
 		const bool generated = !_active->tokens.empty();
 		object["answer"] = generated ? QJsonValue(QJsonObject{{"text", text(absl::StrJoin(_active->tokens, ""))},
 															  {"tokens", static_cast<qint64>(_active->tokens.size())}})
-									 : _active->previous;
+									 : _active->previousOutput;
 	}
 	auto result = std::make_shared<StoredResult>();
 	result->status = httpStatusOf(_outcome);
@@ -452,13 +454,13 @@
 		{
 			this->limitRefusals[_active->submission.workspace] += 1;
 		}
-		this->actives.erase(_active->id);
+		this->activeRequests.erase(_active->id);
 		this->requestOfSerial.erase(_active->ticket.serial);
 		this->results.put(_active->ticket.serial, result);
 	}
 	for (const auto& sink : _active->sinks)
 	{
-		sink->result(result->status, result->retryAfter, result->json);
+		sink->writeResult(result->status, result->retryAfter, result->json);
 	}
 	_active->sinks.clear();
 	this->metrics.requestEnded(_active->submission.pipeline, _outcome, static_cast<double>(elapsed) / kMicrosPerSecond);
@@ -470,8 +472,8 @@
 	this->traces.write(_active->span);
 }
 
-std::optional<Incarnation> Traffic::look(const Ticket& _ticket, const std::string& _workspace,
-										 const std::shared_ptr<AnswerSink>& _sink)
+std::optional<Incarnation> Traffic::query(const Ticket& _ticket, const std::string& _workspace,
+										  const std::shared_ptr<AnswerSink>& _sink)
 {
 	std::pair<TicketState, Outcome> found;
 	{
@@ -482,19 +484,19 @@
 	switch (found.first)
 	{
 	case TicketState::Elsewhere:
-		return this->elsewhere(_ticket, _sink);
+		return this->answerForOtherIssuer(_ticket, _sink);
 	case TicketState::Unused:
 	case TicketState::Running:
 	{
 		const char* state = found.first == TicketState::Unused ? "unused" : "running";
-		_sink->result(202, 0, roadferry::toText(QJsonObject{{"request", text(ticketText)}, {"state", state}}));
+		_sink->writeResult(202, 0, roadferry::toText(QJsonObject{{"request", text(ticketText)}, {"state", state}}));
 		return std::nullopt;
 	}
 	case TicketState::Forgotten:
-		this->deliverStored(0, ticketText, found.second, _sink);
+		this->sendStoredResult(0, ticketText, found.second, _sink);
 		return std::nullopt;
 	case TicketState::Ended:
-		this->deliverStored(_ticket.serial, ticketText, found.second, _sink);
+		this->sendStoredResult(_ticket.serial, ticketText, found.second, _sink);
 		return std::nullopt;
 	}
 	return std::nullopt;
@@ -515,12 +517,12 @@
 		}
 	}
 	// The sink is attached first, so that it hears of the end that the cancel brings about.
-	auto issuer = this->answerDecision(_ticket, decision, _sink);
+	auto issuer = this->applyDecision(_ticket, decision, _sink);
 	this->perform(this->pool.size(), actions);
 	return issuer;
 }
 
-void Traffic::callerGone(const Ticket& _ticket)
+void Traffic::onCallerDisconnected(const Ticket& _ticket)
 {
 	Actions actions;
 	{
@@ -546,8 +548,8 @@
 	{
 		return std::nullopt;
 	}
-	const Active& active = *this->actives.at(request->second);
-	const double elapsed = static_cast<double>(monotonicNow() - active.arrived) / static_cast<double>(kMillisecond);
+	const ActiveRequest& active = *this->activeRequests.at(request->second);
+	const double elapsed = static_cast<double>(monotonicNow() - active.arrivedAt) / static_cast<double>(kMillisecond);
 	return roadferry::toText(QJsonObject{{"request", text(active.ticketText)},
 										 {"state", "running"},
 										 {"pipeline", text(active.submission.pipeline)},
@@ -579,7 +581,7 @@
 	this->dispatcher.reportLoad(_endpoint, _report);
 }
 
-void Traffic::setNodes(std::size_t _nodes)
+void Traffic::setNodeCount(std::size_t _nodes)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->dispatcher.setNodeCount(_nodes);
@@ -594,20 +596,20 @@
 void Traffic::drain()
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	this->isDraining = true;
+	this->drainStarted = true;
 	this->dispatcher.drain();
 }
 
-bool Traffic::draining() const
+bool Traffic::isDraining() const
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->isDraining;
+	return this->drainStarted;
 }
 
 std::size_t Traffic::inFlight() const
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->actives.size();
+	return this->activeRequests.size();
 }
 
 std::map<std::string, std::int64_t> Traffic::takeDemand()
@@ -622,16 +624,16 @@
 	return demand;
 }
 
-Farewell Traffic::farewell()
+Farewell Traffic::shutDown()
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
 	return this->tickets.farewell(monotonicNow());
 }
 
-void Traffic::hearFarewell(const Farewell& _farewell)
+void Traffic::onShutdownReport(const Farewell& _report)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	this->farewells.add(_farewell, monotonicNow());
+	this->shutdownReports.add(_report, monotonicNow());
 }
 
 DispatcherCounters Traffic::counters() const
--- a/src/traffic.h
+++ b/src/traffic.h
@@ -29,12 +29,12 @@
 {
 public:
 	virtual ~AnswerSink() = default;
-	virtual void token(std::int64_t _position, const std::string& _text) = 0;
+	virtual void writeToken(std::int64_t _position, const std::string& _text) = 0;
 
 	/// @param[in] _status HTTP status.
 	/// @param[in] _retryAfter Advice for a repeat in microseconds, 0 for none.
 	/// @param[in] _json The result as an object.
-	virtual void result(unsigned _status, Micros _retryAfter, const std::string& _json) = 0;
+	virtual void writeResult(unsigned _status, Micros _retryAfter, const std::string& _json) = 0;
 };
 
 /// A caller's request, checked.
@@ -42,23 +42,23 @@
 {
 	std::string workspace;
 	std::string pipeline;
-	std::optional<Ticket> ticket;   ///< The caller's, or one that was issued for it.
-	bool ticketGiven = false;       ///< Whether the caller brought it, and so can ask for the outcome later.
-	std::optional<Micros> deadline; ///< From now; missing for the pipeline's own.
+	std::optional<Ticket> ticket;  ///< The caller's, or one that was issued for it.
+	bool hasCallerTicket = false;  ///< Whether the caller brought it, and so can ask for the outcome later.
+	std::optional<Micros> timeout; ///< From now; missing for the pipeline's own.
 	bool repeatable = true;
 	bool stream = false;
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
-	std::uint64_t prefix = 0;
-	std::uint64_t digest = 0; ///< Hash of the body, to tell a copy from another request.
+	std::uint64_t prefixHash = 0;
+	std::uint64_t bodyDigest = 0; ///< Hash of the body, to tell a copy from another request.
 	QJsonValue input;
 	TraceContext trace;
 };
 
 /// Reads the body of a request to a pipeline.
 /// @returns The submission, or InvalidArgument that names the field and the limit.
-absl::StatusOr<Submission> submissionFromBody(const std::string& _workspace, const std::string& _pipeline,
-											  const std::string& _body);
+absl::StatusOr<Submission> parseSubmission(const std::string& _workspace, const std::string& _pipeline,
+										   const std::string& _body);
 
 /// Settings of Traffic.
 struct TrafficSettings
@@ -66,7 +66,7 @@
 	Incarnation self;
 	DispatcherConfig dispatcher;
 	TicketLimits tickets;
-	std::size_t answerBytes = 0; ///< Memory for results kept for later questions.
+	std::size_t resultCacheBytes = 0; ///< Memory for results kept for later questions.
 };
 
 /// All requests that this incarnation runs. Its functions may be called from any thread.
@@ -92,12 +92,12 @@
 									  const std::shared_ptr<AnswerSink>& _sink);
 
 	/// @returns How long a request may take: the pipeline's deadline, or the caller's where that is shorter.
-	[[nodiscard]] Micros timeLimit(const Submission& _submission) const;
+	[[nodiscard]] Micros requestTimeout(const Submission& _submission) const;
 
 	/// Says what is known of a ticket.
 	/// @returns Nothing, or the incarnation that has to be asked instead.
-	std::optional<Incarnation> look(const Ticket& _ticket, const std::string& _workspace,
-									const std::shared_ptr<AnswerSink>& _sink);
+	std::optional<Incarnation> query(const Ticket& _ticket, const std::string& _workspace,
+									 const std::shared_ptr<AnswerSink>& _sink);
 
 	/// Stops a request, and makes sure that an unused ticket never runs.
 	/// @returns Nothing, or the incarnation that has to be asked instead.
@@ -108,24 +108,24 @@
 	[[nodiscard]] std::optional<std::string> explain(const Ticket& _ticket);
 
 	/// Forgets a caller that has gone; its request is stopped when nobody else can ask for it.
-	void callerGone(const Ticket& _ticket);
+	void onCallerDisconnected(const Ticket& _ticket);
 
 	void setTable(const std::shared_ptr<const Table>& _table);
 	void setEndpoints(const std::vector<Endpoint>& _endpoints);
 	void markLeaving(const std::string& _endpoint);
 	void reportLoad(const std::string& _endpoint, const LoadReport& _report);
-	void setNodes(std::size_t _nodes);
+	void setNodeCount(std::size_t _nodes);
 	void setShare(const std::string& _workspace, std::int64_t _inFlight);
 	void drain();
 
 	/// Ends this incarnation: no ticket of it runs any more. Call when nothing is in flight.
 	/// @returns What other nodes need to answer for it.
-	Farewell farewell();
+	Farewell shutDown();
 
 	/// Takes the farewell of another incarnation.
-	void hearFarewell(const Farewell& _farewell);
+	void onShutdownReport(const Farewell& _report);
 
-	[[nodiscard]] bool draining() const;
+	[[nodiscard]] bool isDraining() const;
 	[[nodiscard]] std::size_t inFlight() const;
 	/// @returns Requests in flight and refused for their workspace's limit since the last call, by workspace.
 	[[nodiscard]] std::map<std::string, std::int64_t> takeDemand();
@@ -134,25 +134,25 @@
 	[[nodiscard]] const Incarnation& self() const;
 
 private:
-	struct Active;
-	using ActivePointer = std::shared_ptr<Active>;
+	struct ActiveRequest;
+	using ActivePointer = std::shared_ptr<ActiveRequest>;
 
-	[[nodiscard]] Micros limitOf(const Submission& _submission) const;
-	ActivePointer makeActive(std::size_t _thread, const Submission& _submission, const Ticket& _ticket);
-	void begin(std::size_t _thread, const ActivePointer& _active, Actions& _actions);
+	[[nodiscard]] Micros timeoutOf(const Submission& _submission) const;
+	ActivePointer makeActiveRequest(std::size_t _thread, const Submission& _submission, const Ticket& _ticket);
+	void startRequest(std::size_t _thread, const ActivePointer& _active, Actions& _actions);
 	void perform(std::size_t _thread, const Actions& _actions);
-	void onRequestThread(std::size_t _thread, const ActivePointer& _active, std::function<void()> _function);
+	void runOnRequestThread(std::size_t _thread, const ActivePointer& _active, std::function<void()> _function);
 	void startAttempt(const ActivePointer& _active, const StartAttempt& _attempt);
 	void cancelAttempt(const ActivePointer& _active, const CancelAttempt& _attempt);
-	void attemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const AttemptEnd& _end);
+	void onAttemptEnded(const ActivePointer& _active, std::uint64_t _attempt, const AttemptEnd& _end);
 	void finish(const ActivePointer& _active, const Outcome& _outcome);
-	void attach(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
-				const std::shared_ptr<AnswerSink>& _sink);
-	void deliverStored(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
-					   const std::shared_ptr<AnswerSink>& _sink);
-	std::optional<Incarnation> elsewhere(const Ticket& _ticket, const std::shared_ptr<AnswerSink>& _sink);
-	std::optional<Incarnation> answerDecision(const Ticket& _ticket, const TicketDecision& _decision,
-											  const std::shared_ptr<AnswerSink>& _sink);
+	void attachSink(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
+					const std::shared_ptr<AnswerSink>& _sink);
+	void sendStoredResult(std::uint64_t _serial, const std::string& _ticket, const Outcome& _outcome,
+						  const std::shared_ptr<AnswerSink>& _sink);
+	std::optional<Incarnation> answerForOtherIssuer(const Ticket& _ticket, const std::shared_ptr<AnswerSink>& _sink);
+	std::optional<Incarnation> applyDecision(const Ticket& _ticket, const TicketDecision& _decision,
+											 const std::shared_ptr<AnswerSink>& _sink);
 	void tick();
 
 	IoPool& pool;
@@ -165,13 +165,13 @@
 	Dispatcher dispatcher;
 	TicketBook tickets;
 	ResultStore results;
-	FarewellBook farewells;
+	FarewellBook shutdownReports;
 	std::map<std::string, std::int64_t> limitRefusals;
 	std::shared_ptr<const Table> table;
-	std::unordered_map<std::uint64_t, ActivePointer> actives; ///< By request.
+	std::unordered_map<std::uint64_t, ActivePointer> activeRequests; ///< By request.
 	std::unordered_map<std::uint64_t, std::uint64_t> requestOfSerial;
 	std::uint64_t lastRequest = 0;
-	bool isDraining = false;
+	bool drainStarted = false;
 };
 
 /// @returns HTTP status for an outcome.
--- a/tests/deployment.cpp
+++ b/tests/deployment.cpp
@@ -29,11 +29,11 @@
 namespace
 {
 
-constexpr std::int64_t kCallTimeout = 20'000'000;
-constexpr std::chrono::seconds kAwaitLimit{20};
-constexpr std::chrono::milliseconds kAwaitPause{10};
-constexpr int kCannotStart = 127;
-constexpr const char* kSecret = "peer-credential-of-tests";
+constexpr std::int64_t kCallTimeoutUs = 20'000'000;
+constexpr std::chrono::seconds kAwaitTimeout{20};
+constexpr std::chrono::milliseconds kAwaitPollInterval{10};
+constexpr int kExecFailedExitCode = 127;
+constexpr const char* kPeerSecret = "peer-credential-of-tests";
 
 Answer answerOf(const CallEnd& _end)
 {
@@ -55,7 +55,7 @@
 	spec.request.target = _target;
 	spec.request.body = _body;
 	spec.request.headers = {{"Authorization", "Bearer " + _credential}};
-	spec.timeout = kCallTimeout;
+	spec.timeout = kCallTimeoutUs;
 	spec.fresh = true;
 	return spec;
 }
@@ -82,7 +82,7 @@
 		close(pipes[0]);
 		close(pipes[1]);
 		execv(path.c_str(), arguments.data());
-		_exit(kCannotStart);
+		_exit(kExecFailedExitCode);
 	}
 	close(pipes[1]);
 	cr_assert_gt(this->pid, 0, "cannot start %s", path.c_str());
@@ -101,14 +101,14 @@
 	if (const auto started = parseObject(line); started.ok())
 	{
 		this->address = started->value("clients").toString().toStdString();
-		this->peer = started->value("peers").toString().toStdString();
+		this->peerAddress = started->value("peers").toString().toStdString();
 		this->readiness = started->value("readiness").toString().toStdString();
 		return;
 	}
 	const std::vector<std::string> words = absl::StrSplit(line, ' ');
 	cr_assert_geq(words.size(), 2, "no address from a process: %s", line.c_str());
 	this->address = words[1];
-	this->peer = words.size() >= 4 ? words[3] : std::string();
+	this->peerAddress = words.size() >= 4 ? words[3] : std::string();
 }
 
 Process::~Process()
@@ -150,43 +150,43 @@
 	this->pool.stop();
 }
 
-void Deployment::list(const std::string& _id, const std::string& _body)
+void Deployment::listVm(const std::string& _id, const std::string& _body)
 {
 	const Answer answer = this->call(this->vmList->address, "PUT", "/vms/" + _id, _body);
 	cr_assert_eq(answer.status, 200);
 }
 
-Process& Deployment::endpoint(const std::string& _id, const std::string& _kind, std::vector<std::string> _flags)
+Process& Deployment::startEndpoint(const std::string& _id, const std::string& _kind, std::vector<std::string> _flags)
 {
 	_flags.push_back("--kind=" + _kind);
 	_flags.push_back("--id=" + _id);
 	this->endpoints.push_back(std::make_unique<Process>("roadferry-standin", _flags));
-	this->list(_id, absl::StrCat("{\"address\":\"", this->endpoints.back()->address, "\",\"pool\":\"", _kind,
-								 "\",\"failure_domain\":\"howrah\",\"slots\":8}"));
+	this->listVm(_id, absl::StrCat("{\"address\":\"", this->endpoints.back()->address, "\",\"pool\":\"", _kind,
+								   "\",\"failure_domain\":\"howrah\",\"slots\":8}"));
 	return *this->endpoints.back();
 }
 
-Process& Deployment::daemon(const std::vector<std::string>& _flags)
+Process& Deployment::startDaemon(const std::vector<std::string>& _flags)
 {
 	std::vector<std::string> flags = {"--failure_domain=howrah",
 									  "--log_address=" + this->log->address,
 									  "--vm_list_address=" + this->vmList->address,
-									  absl::StrCat("--callers=hall=", kCaller, ",other=other-credential"),
-									  absl::StrCat("--operators=ana=", kOperator),
-									  absl::StrCat("--peer_secret=", kSecret)};
+									  absl::StrCat("--callers=hall=", kCallerCredential, ",other=other-credential"),
+									  absl::StrCat("--operators=ana=", kOperatorCredential),
+									  absl::StrCat("--peer_secret=", kPeerSecret)};
 	flags.insert(flags.end(), _flags.begin(), _flags.end());
 	this->nodes.push_back(std::make_unique<Process>("roadferryd", flags));
 	Process& node = *this->nodes.back();
-	this->list(absl::StrCat("node-", this->nodes.size()),
-			   absl::StrCat("{\"address\":\"", node.peer, "\",\"role\":\"roadferry\"}"));
+	this->listVm(absl::StrCat("node-", this->nodes.size()),
+				 absl::StrCat("{\"address\":\"", node.peerAddress, "\",\"role\":\"roadferry\"}"));
 	return node;
 }
 
-void Deployment::daemons(std::size_t _count, const std::vector<std::string>& _flags)
+void Deployment::startDaemons(std::size_t _count, const std::vector<std::string>& _flags)
 {
 	for (std::size_t index = 0; index < _count; ++index)
 	{
-		this->daemon(_flags);
+		this->startDaemon(_flags);
 	}
 	for (const auto& node : this->nodes)
 	{
@@ -194,15 +194,15 @@
 		await("daemon knows its peers",
 			  [&]
 			  {
-				  const Answer status = this->call(node->address, "GET", "/operator/status", {}, kOperator);
+				  const Answer status = this->call(node->address, "GET", "/operator/status", {}, kOperatorCredential);
 				  return status.json["peers"].toArray().size() + 1 == static_cast<qsizetype>(this->nodes.size());
 			  });
 	}
 }
 
-Answer Deployment::edit(std::size_t _daemon, const std::string& _body)
+Answer Deployment::editTable(std::size_t _daemon, const std::string& _body)
 {
-	return this->call(this->nodes.at(_daemon)->address, "POST", "/operator/table/edits", _body, kOperator);
+	return this->call(this->nodes.at(_daemon)->address, "POST", "/operator/table/edits", _body, kOperatorCredential);
 }
 
 void Deployment::writeTable()
@@ -217,7 +217,7 @@
 		return absl::StrCat(R"({"kind":"pipeline","name":")", _name, R"(","base":0,"row":{"name":")", _name,
 							R"(","workspace":"hall","stages":[)", _stages, R"(],"deadline_ms":5000}})");
 	};
-	const Answer answer = this->edit(
+	const Answer answer = this->editTable(
 		0,
 		absl::StrCat(R"({"id":"first","changes":[{"kind":"workspace","name":"hall","base":0,"row":{"name":"hall"}},)",
 					 stage("encode", "encoder"), ",", stage("retrieve", "retriever"), ",", stage("rerank", "reranker"),
@@ -230,7 +230,7 @@
 		await("table at the daemon",
 			  [&]
 			  {
-				  const Answer status = this->call(node->address, "GET", "/operator/status", {}, kOperator);
+				  const Answer status = this->call(node->address, "GET", "/operator/status", {}, kOperatorCredential);
 				  return status.json["table_offset"].toInteger() >= 1;
 			  });
 	}
@@ -252,7 +252,7 @@
 	return answerOf(future.get());
 }
 
-void Deployment::callLater(const std::string& _address, const std::string& _target, const std::string& _body,
+void Deployment::callAsync(const std::string& _address, const std::string& _target, const std::string& _body,
 						   std::function<void(const Answer&)> _done, const std::string& _credential)
 {
 	this->pool.post(0,
@@ -285,14 +285,14 @@
 	return answer;
 }
 
-std::string Deployment::ticket(std::size_t _daemon)
+std::string Deployment::issueTicket(std::size_t _daemon)
 {
 	const Answer answer = this->call(this->nodes.at(_daemon)->address, "POST", "/v1/tickets", "{}");
 	cr_assert_eq(answer.status, 201);
 	return answer.json["ticket"].toString().toStdString();
 }
 
-std::map<std::string, int> Deployment::effects()
+std::map<std::string, int> Deployment::countEffects()
 {
 	std::map<std::string, int> counts;
 	for (const auto& endpoint : this->endpoints)
@@ -306,7 +306,7 @@
 	return counts;
 }
 
-void Deployment::fault(const Process& _process, const std::string& _body)
+void Deployment::injectFault(const Process& _process, const std::string& _body)
 {
 	const Answer answer = this->call(_process.address, "POST", "/fault", _body);
 	cr_assert_eq(answer.status, 200, "%s", answer.body.c_str());
@@ -323,8 +323,8 @@
 	const auto begin = std::chrono::steady_clock::now();
 	while (!_condition())
 	{
-		cr_assert(std::chrono::steady_clock::now() - begin < kAwaitLimit, "waited in vain: %s", _what.c_str());
-		std::this_thread::sleep_for(kAwaitPause);
+		cr_assert(std::chrono::steady_clock::now() - begin < kAwaitTimeout, "waited in vain: %s", _what.c_str());
+		std::this_thread::sleep_for(kAwaitPollInterval);
 	}
 }
 
--- a/tests/deployment.h
+++ b/tests/deployment.h
@@ -38,9 +38,9 @@
 	/// @returns Exit code after the process has ended by itself; negative after a signal.
 	int wait();
 
-	std::string address;   ///< From its first line of output.
-	std::string peer;      ///< Of a daemon: where other nodes reach it.
-	std::string readiness; ///< Of a daemon that forwards: where readiness is asked.
+	std::string address;     ///< From its first line of output.
+	std::string peerAddress; ///< Of a daemon: where other nodes reach it.
+	std::string readiness;   ///< Of a daemon that forwards: where readiness is asked.
 
 private:
 	void readAddresses(int _output);
@@ -65,37 +65,37 @@
 	~Deployment();
 
 	/// Adds an endpoint of a kind, in the pool of the same name, and lists it.
-	Process& endpoint(const std::string& _id, const std::string& _kind, std::vector<std::string> _flags = {});
+	Process& startEndpoint(const std::string& _id, const std::string& _kind, std::vector<std::string> _flags = {});
 
 	/// Adds daemons, lists them, and waits until they are ready.
-	void daemons(std::size_t _count, const std::vector<std::string>& _flags = {});
+	void startDaemons(std::size_t _count, const std::vector<std::string>& _flags = {});
 
 	/// Adds one daemon without waiting for it.
-	Process& daemon(const std::vector<std::string>& _flags = {});
+	Process& startDaemon(const std::vector<std::string>& _flags = {});
 
 	/// Writes the rows of the pipelines that most tests use, and waits until every daemon has them.
 	void writeTable();
 
 	/// Appends an edit through a daemon.
-	Answer edit(std::size_t _daemon, const std::string& _body);
+	Answer editTable(std::size_t _daemon, const std::string& _body);
 
 	/// Sends one request, and waits for the answer.
 	Answer call(const std::string& _address, const std::string& _method, const std::string& _target,
-				const std::string& _body = {}, const std::string& _credential = kCaller);
+				const std::string& _body = {}, const std::string& _credential = kCallerCredential);
 
 	/// Begins a request without waiting for its answer.
-	void callLater(const std::string& _address, const std::string& _target, const std::string& _body,
-				   std::function<void(const Answer&)> _done, const std::string& _credential = kCaller);
+	void callAsync(const std::string& _address, const std::string& _target, const std::string& _body,
+				   std::function<void(const Answer&)> _done, const std::string& _credential = kCallerCredential);
 
-	std::string ticket(std::size_t _daemon);
+	std::string issueTicket(std::size_t _daemon);
 
 	/// Sends bytes as they are, and reads until the other side closes.
 	static std::string sendRaw(const std::string& _address, const std::string& _bytes);
 
 	/// @returns Number of effects of each marker in the ledgers of all endpoints.
-	std::map<std::string, int> effects();
+	std::map<std::string, int> countEffects();
 
-	void fault(const Process& _process, const std::string& _body);
+	void injectFault(const Process& _process, const std::string& _body);
 
 	/// Waits until a condition holds; the test fails when it does not within 20 s.
 	static void await(const std::string& _what, const std::function<bool()>& _condition);
@@ -103,8 +103,8 @@
 	/// Asserts that a JSON value is a certain text, and prints both when it is not.
 	static void expectText(const QJsonValue& _value, const std::string& _expected);
 
-	static constexpr const char* kCaller = "hall-credential";
-	static constexpr const char* kOperator = "operator-credential";
+	static constexpr const char* kCallerCredential = "hall-credential";
+	static constexpr const char* kOperatorCredential = "operator-credential";
 
 	std::unique_ptr<Process> log;
 	std::unique_ptr<Process> vmList;
@@ -112,7 +112,7 @@
 	std::vector<std::unique_ptr<Process>> nodes;
 
 private:
-	void list(const std::string& _id, const std::string& _body);
+	void listVm(const std::string& _id, const std::string& _body);
 
 	IoPool pool{1};
 	HttpClient client{pool};
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -115,7 +115,7 @@
 				   {
 					   std::string body = R"({"input":{"a":1},"deadline_ms":3000,"max_tokens":5,"stream":true})";
 					   body[*rc::gen::inRange<std::size_t>(0, body.size())] = *rc::gen::arbitrary<char>();
-					   const auto submission = submissionFromBody("hall", "mark", body);
+					   const auto submission = parseSubmission("hall", "mark", body);
 					   const bool told = submission.ok() || !submission.status().message().empty();
 					   RC_ASSERT(told);
 					   std::string csv = "kind,name,field,value\nworkspace,hall,weight,2\nstage,e,pool,p\n";
--- a/tests/test_path.cpp
+++ b/tests/test_path.cpp
@@ -19,15 +19,15 @@
 using roadferry::Deployment;
 using roadferry::Process;
 
-void addEndpoints(Deployment& _deployment)
+void startEndpoints(Deployment& _deployment)
 {
 	for (const char* kind : {"encoder", "retriever", "reranker", "engine", "service"})
 	{
-		_deployment.endpoint(absl::StrCat(kind, "-1"), kind);
+		_deployment.startEndpoint(absl::StrCat(kind, "-1"), kind);
 	}
 }
 
-std::string textOf(const std::string& _marker, int _tokens)
+std::string expectedText(const std::string& _marker, int _tokens)
 {
 	std::string text;
 	for (int position = 0; position < _tokens; ++position)
@@ -39,11 +39,11 @@
 
 } // namespace
 
-Test(path, request_passes_all_stages_and_comes_back_whole)
+Test(path, request_runs_all_stages_and_returns_the_complete_answer)
 {
 	Deployment deployment;
-	addEndpoints(deployment);
-	deployment.daemons(3);
+	startEndpoints(deployment);
+	deployment.startDaemons(3);
 	deployment.writeTable();
 	const Process balancer(
 		"roadferry-standin",
@@ -56,9 +56,9 @@
 										  R"({"input":{"marker":"script-7"},"max_tokens":4})");
 	cr_assert_eq(answer.status, 200, "%s", answer.body.c_str());
 	Deployment::expectText(answer.json["outcome"], "answered");
-	Deployment::expectText(answer.json["answer"]["text"], textOf("script-7", 4));
+	Deployment::expectText(answer.json["answer"]["text"], expectedText("script-7", 4));
 	cr_assert_eq(answer.json["stages"].toArray().size(), 4);
-	cr_assert_eq(deployment.effects()["script-7"], 4);
+	cr_assert_eq(deployment.countEffects()["script-7"], 4);
 
 	const Answer stream = deployment.call(balancer.address, "POST", "/v1/pipelines/mark/requests",
 										  R"({"input":{"marker":"s"},"max_tokens":2,"stream":true})");
@@ -66,13 +66,13 @@
 	cr_assert_neq(stream.body.find("event: outcome"), std::string::npos);
 }
 
-Test(path, failing_stage_gives_a_typed_refusal)
+Test(path, failing_stage_gives_a_typed_outcome)
 {
 	Deployment deployment;
-	addEndpoints(deployment);
-	deployment.daemons(1);
+	startEndpoints(deployment);
+	deployment.startDaemons(1);
 	deployment.writeTable();
-	deployment.fault(*deployment.endpoints[2], R"({"mode":"refuse"})");
+	deployment.injectFault(*deployment.endpoints[2], R"({"mode":"refuse"})");
 	const Answer answer = deployment.call(deployment.nodes[0]->address, "POST", "/v1/pipelines/mark/requests",
 										  R"({"input":{"marker":"m"},"max_tokens":4})");
 	cr_assert_eq(answer.status, 502, "%s", answer.body.c_str());
@@ -82,36 +82,37 @@
 	cr_assert(answer.json["repeat_safe"].toBool());
 }
 
-Test(path, slow_senders_and_rubbish_are_told_and_others_go_on)
+Test(path, slow_and_malformed_requests_are_rejected_and_others_still_served)
 {
 	Deployment deployment;
-	addEndpoints(deployment);
-	deployment.daemons(1, {"--request_timeout_ms=200"});
+	startEndpoints(deployment);
+	deployment.startDaemons(1, {"--request_timeout_ms=200"});
 	deployment.writeTable();
 	const std::string address = deployment.nodes[0]->address;
 	const std::string slow =
 		Deployment::sendRaw(address, "POST /v1/tickets HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nab");
 	cr_assert_eq(slow.find("HTTP/1.1 408"), 0, "%s", slow.c_str());
-	const std::string rubbish = Deployment::sendRaw(address, "\x01\x02 no HTTP at all\r\n\r\n");
-	cr_assert_eq(rubbish.find("HTTP/1.1 400"), 0, "%s", rubbish.c_str());
+	const std::string malformed = Deployment::sendRaw(address, "\x01\x02 no HTTP at all\r\n\r\n");
+	cr_assert_eq(malformed.find("HTTP/1.1 400"), 0, "%s", malformed.c_str());
 	const std::string longHeader = Deployment::sendRaw(
 		address, "GET /health HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(20'000, 'a') + "\r\n\r\n");
 	cr_assert_eq(longHeader.find("HTTP/1.1 431"), 0, "%s", longHeader.c_str());
 	// A websocket without the peers' credential is turned away.
-	const std::string stranger = Deployment::sendRaw(
-		deployment.nodes[0]->peer, "GET /peer HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
-								   "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n");
-	cr_assert_eq(stranger.find("HTTP/1.1 101"), std::string::npos, "%s", stranger.c_str());
+	const std::string unauthenticated =
+		Deployment::sendRaw(deployment.nodes[0]->peerAddress,
+							"GET /peer HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
+							"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n\r\n");
+	cr_assert_eq(unauthenticated.find("HTTP/1.1 101"), std::string::npos, "%s", unauthenticated.c_str());
 	const Answer after =
 		deployment.call(address, "POST", "/v1/pipelines/checkin/requests", R"({"input":{"marker":"m"}})");
 	cr_assert_eq(after.status, 200);
 }
 
-Test(path, bad_requests_name_the_field_and_the_limit)
+Test(path, errors_for_invalid_requests_name_the_field_and_the_limit)
 {
 	Deployment deployment;
-	addEndpoints(deployment);
-	deployment.daemons(1);
+	startEndpoints(deployment);
+	deployment.startDaemons(1);
 	deployment.writeTable();
 	const std::string address = deployment.nodes[0]->address;
 	const std::string target = "/v1/pipelines/mark/requests";
@@ -136,6 +137,7 @@
 	cr_assert_eq(deployment.call(address, "POST", target, R"({"input":1})", "other-credential").status, 403);
 	cr_assert_eq(deployment.call(address, "POST", "/v1/pipelines/none/requests", R"({"input":1})").status, 404);
 	cr_assert_eq(deployment.call(address, "POST", target, std::string(5 * 1024 * 1024, 'x')).status, 413);
-	cr_assert_eq(deployment.call(address, "POST", "/operator/table/edits", "{}", Deployment::kCaller).status, 401);
+	cr_assert_eq(deployment.call(address, "POST", "/operator/table/edits", "{}", Deployment::kCallerCredential).status,
+				 401);
 	cr_assert_eq(deployment.call(address, "POST", target, R"({"input":{"marker":"m"},"max_tokens":2})").status, 200);
 }
