--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -81,7 +81,7 @@
 Traffic::Traffic(IoPool& _pool, HttpClient& _client, Metrics& _metrics, TraceWriter& _traces, TrafficSettings _settings)
 	: pool(_pool), client(_client), metrics(_metrics), traces(_traces), settings(std::move(_settings)),
 	  dispatcher(settings.dispatcher), tickets(settings.self, settings.tickets), results(settings.resultCacheBytes),
-	  shutdownReports(settings.tickets.unusedLife + settings.tickets.outcomeLife), table(std::make_shared<Table>())
+	  shutdownReports(settings.tickets.unusedTtl + settings.tickets.outcomeTtl), table(std::make_shared<Table>())
 {
 }
 
@@ -191,7 +191,7 @@
 			[](const TicketRun&) {},
 			[&](const TicketAttach&) { this->attachSink(_ticket.serial, ticketText, Outcome{}, _sink); },
 			[&](const TicketReplay& _typed) { this->attachSink(_ticket.serial, ticketText, _typed.outcome, _sink); },
-			[&](const TicketElsewhere&) { issuer = this->answerForOtherIssuer(_ticket, _sink); },
+			[&](const TicketOtherIssuer&) { issuer = this->answerForOtherIssuer(_ticket, _sink); },
 			[&](const TicketRefused& _typed) { this->sendStoredResult(0, ticketText, _typed.outcome, _sink); },
 		},
 		_decision);
@@ -204,7 +204,7 @@
 	std::optional<Outcome> outcome;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		outcome = this->shutdownReports.look(_ticket, monotonicNow());
+		outcome = this->shutdownReports.outcomeOf(_ticket, monotonicNow());
 	}
 	if (!outcome)
 	{
@@ -239,7 +239,7 @@
 						{
 							const std::lock_guard<std::mutex> guard(this->lock);
 							running = this->activeRequests.count(active->id) > 0;
-							outcome = this->tickets.look(active->ticket, active->submission.workspace).second;
+							outcome = this->tickets.stateOf(active->ticket, active->submission.workspace).second;
 						}
 						if (!running)
 						{
@@ -449,7 +449,7 @@
 	_active->tokens.clear();
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		this->tickets.end(_active->ticket, _outcome, now);
+		this->tickets.recordOutcome(_active->ticket, _outcome, now);
 		if (_outcome.reason == Reason::WorkspaceLimit)
 		{
 			this->limitRefusals[_active->submission.workspace] += 1;
@@ -478,12 +478,12 @@
 	std::pair<TicketState, Outcome> found;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		found = this->tickets.look(_ticket, _workspace);
+		found = this->tickets.stateOf(_ticket, _workspace);
 	}
 	const std::string ticketText = roadferry::toText(_ticket);
 	switch (found.first)
 	{
-	case TicketState::Elsewhere:
+	case TicketState::OtherIssuer:
 		return this->answerForOtherIssuer(_ticket, _sink);
 	case TicketState::Unused:
 	case TicketState::Running:
@@ -492,7 +492,7 @@
 		_sink->writeResult(202, 0, roadferry::toText(QJsonObject{{"request", text(ticketText)}, {"state", state}}));
 		return std::nullopt;
 	}
-	case TicketState::Forgotten:
+	case TicketState::Unknown:
 		this->sendStoredResult(0, ticketText, found.second, _sink);
 		return std::nullopt;
 	case TicketState::Ended:
@@ -509,7 +509,7 @@
 	Actions actions;
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
-		decision = this->tickets.seal(_ticket, _workspace, monotonicNow());
+		decision = this->tickets.revoke(_ticket, _workspace, monotonicNow());
 		const auto request = this->requestOfSerial.find(_ticket.serial);
 		if (std::holds_alternative<TicketAttach>(decision) && request != this->requestOfSerial.end())
 		{
@@ -624,13 +624,13 @@
 	return demand;
 }
 
-Farewell Traffic::shutDown()
+ShutdownReport Traffic::shutDown()
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	return this->tickets.farewell(monotonicNow());
+	return this->tickets.shutDown(monotonicNow());
 }
 
-void Traffic::onShutdownReport(const Farewell& _report)
+void Traffic::onShutdownReport(const ShutdownReport& _report)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
 	this->shutdownReports.add(_report, monotonicNow());
--- a/src/traffic.h
+++ b/src/traffic.h
@@ -120,10 +120,10 @@
 
 	/// Ends this incarnation: no ticket of it runs any more. Call when nothing is in flight.
 	/// @returns What other nodes need to answer for it.
-	Farewell shutDown();
+	ShutdownReport shutDown();
 
 	/// Takes the farewell of another incarnation.
-	void onShutdownReport(const Farewell& _report);
+	void onShutdownReport(const ShutdownReport& _report);
 
 	[[nodiscard]] bool isDraining() const;
 	[[nodiscard]] std::size_t inFlight() const;
@@ -163,9 +163,9 @@
 
 	mutable std::mutex lock; ///< Guards everything below.
 	Dispatcher dispatcher;
-	TicketBook tickets;
+	TicketRegistry tickets;
 	ResultStore results;
-	FarewellBook shutdownReports;
+	ShutdownReportCache shutdownReports;
 	std::map<std::string, std::int64_t> limitRefusals;
 	std::shared_ptr<const Table> table;
 	std::unordered_map<std::uint64_t, ActivePointer> activeRequests; ///< By request.
--- a/tests/share_world.h
+++ b/tests/share_world.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Nodes that share limits over a virtual network.
+/// Simulated nodes that share limits over a virtual network.
 
 #ifndef ROADFERRY_SHARE_WORLD_H_HEADER_GUARD
 #define ROADFERRY_SHARE_WORLD_H_HEADER_GUARD
@@ -14,7 +14,8 @@
 namespace roadferry
 {
 
-/// All nodes of one deployment. Their views are set by hand, so that each fault of membership can be had.
+/// All nodes of one deployment. Their membership views are set explicitly, so that any fault of membership can be
+/// simulated.
 class ShareWorld
 {
 public:
@@ -33,7 +34,7 @@
 
 	void start(std::size_t _index)
 	{
-		this->nodes[_index] = std::make_unique<ShareMeter>(this->all[_index], ShareConfig{});
+		this->nodes[_index] = std::make_unique<ShareAllocator>(this->all[_index], ShareConfig{});
 		this->nodes[_index]->setLimits(this->limits);
 		this->nodes[_index]->setNodes(this->all, this->all, this->now);
 		this->demand[_index] = {};
@@ -44,7 +45,7 @@
 		this->nodes[_index] = nullptr;
 	}
 
-	void view(std::size_t _index, const std::vector<std::string>& _alive)
+	void setAliveNodes(std::size_t _index, const std::vector<std::string>& _alive)
 	{
 		this->nodes[_index]->setNodes(this->all, _alive, this->now);
 	}
@@ -66,10 +67,10 @@
 				const std::string& to =
 					std::visit([](const auto& _typed) -> const std::string& { return _typed.to; }, action);
 				const auto found = std::lower_bound(this->all.begin(), this->all.end(), to);
-				this->messages += 1;
-				if (this->watch)
+				this->messagesSent += 1;
+				if (this->onSend)
 				{
-					this->watch(action);
+					this->onSend(action);
 				}
 				this->network.send(index, static_cast<std::size_t>(found - this->all.begin()), action);
 			}
@@ -85,7 +86,7 @@
 		}
 	}
 
-	/// @returns Sum of the shares of all nodes that run, frozen ones included.
+	/// @returns Sum of the shares of all running nodes, including frozen ones.
 	[[nodiscard]] std::int64_t sum(const std::string& _workspace) const
 	{
 		std::int64_t total = 0;
@@ -96,7 +97,7 @@
 		return total;
 	}
 
-	/// @returns Sum over nodes of what each can use of its share.
+	/// @returns Sum over all running nodes of the part of the share that the node's demand uses.
 	[[nodiscard]] std::int64_t used(const std::string& _workspace)
 	{
 		std::int64_t total = 0;
@@ -111,15 +112,15 @@
 		return total;
 	}
 
-	std::vector<std::unique_ptr<ShareMeter>> nodes;
+	std::vector<std::unique_ptr<ShareAllocator>> nodes;
 	std::map<std::size_t, std::map<std::string, std::int64_t>> demand;
 	std::set<std::size_t> frozen;
 	VirtualNetwork<ShareAction> network;
 	std::vector<std::string> all;
 	std::map<std::string, std::int64_t> limits;
 	Micros now = kSecond;
-	std::uint64_t messages = 0;
-	std::function<void(const ShareAction&)> watch; ///< Sees each message that is sent.
+	std::uint64_t messagesSent = 0;
+	std::function<void(const ShareAction&)> onSend; ///< Called with each message that is sent.
 
 private:
 	void receive(std::size_t _from, std::size_t _to, const ShareAction& _message)
