--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the interface for callers.
+/// Implementation of CallerApi.
 
 #include "caller_api.h"
 
@@ -23,11 +23,11 @@
 {
 
 constexpr Micros kMicrosPerSecond = kSecond;
-constexpr Micros kRelayTimeoutMargin =
-	500 * kMillisecond; ///< After its deadline, for the issuer's own answer to arrive.
+/// Time after the deadline of a forwarded request in which the issuer's answer can still arrive.
+constexpr Micros kRelayTimeoutMargin = 500 * kMillisecond;
 constexpr Micros kQueryTimeout = 2 * kSecond;
 
-/// Sends one JSON response.
+/// Sends the result as one JSON response; ignores tokens.
 class JsonResponseSink final : public AnswerSink
 {
 public:
@@ -101,7 +101,7 @@
 	return std::make_shared<JsonResponseSink>(_reply);
 }
 
-/// @returns The part of a path between a prefix and a suffix, decoded; empty when the path is another one.
+/// @returns The decoded path segment between a prefix and a suffix; empty if the path does not match.
 std::string extractPathSegment(const std::string& _path, absl::string_view _prefix, absl::string_view _suffix)
 {
 	absl::string_view rest = _path;
@@ -199,7 +199,8 @@
 			return;
 		}
 		submission->ticket = *issued;
-		// Nobody can ask for the outcome of a request without a ticket, so that it ends with its caller.
+		// The caller does not know this ticket and cannot query the outcome later, so the request is cancelled when it
+		// disconnects.
 		_reply->onGone([&traffic = this->traffic, ticket = *issued] { traffic.onCallerDisconnected(ticket); });
 	}
 	auto sink = makeSink(submission->stream, _reply);
--- a/src/caller_api.h
+++ b/src/caller_api.h
@@ -23,7 +23,7 @@
 public:
 	CallerApi(const Settings& _settings, Traffic& _traffic, Relay& _relay);
 
-	/// @returns Whether the request was for this interface.
+	/// @returns False if the path or the method does not belong to this interface.
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 private:
@@ -38,7 +38,7 @@
 	Relay& relay;
 };
 
-/// @returns An error as all interfaces give it: {"error": {"code", "message"}}.
+/// @returns An error in the format of all interfaces: {"error": {"code", "message"}}.
 HttpResponse errorResponse(unsigned _status, const std::string& _code, const std::string& _message);
 
 } // namespace roadferry
--- a/src/clock.cpp
+++ b/src/clock.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the clock and of random numbers.
+/// Implementation of the monotonic clock and of random numbers.
 
 #include "clock.h"
 
--- a/src/clock.h
+++ b/src/clock.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The steady clock, and random numbers: the sources that decisions are not allowed to read themselves.
+/// Monotonic clock and random numbers. Decision code does not call these functions; it gets their values as arguments.
 
 #ifndef ROADFERRY_CLOCK_H_HEADER_GUARD
 #define ROADFERRY_CLOCK_H_HEADER_GUARD
@@ -14,10 +14,10 @@
 namespace roadferry
 {
 
-/// @returns Time on the steady clock, which the time of day does not move.
+/// @returns Time of the monotonic clock in microseconds; changes of the wall clock do not affect it.
 Micros monotonicNow();
 
-/// @returns A random number from the system's generator.
+/// @returns A random number from the system's random number generator.
 std::uint64_t randomNumber();
 
 } // namespace roadferry
--- a/src/daemon.h
+++ b/src/daemon.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// What the program runs: a node of either kind.
+/// Interface of the two kinds of nodes for the program that runs them.
 
 #ifndef ROADFERRY_DAEMON_H_HEADER_GUARD
 #define ROADFERRY_DAEMON_H_HEADER_GUARD
@@ -17,25 +17,27 @@
 namespace roadferry
 {
 
-/// A node, as the program that runs it sees it. All functions are called on the control thread.
+/// A node of either kind. All functions are called on the control thread.
 class Daemon
 {
 public:
 	virtual ~Daemon() = default;
 
-	/// @param[in] _onStopped Called when a planned stop is over.
+	/// Starts the node.
+	/// @param[in] _onStopped Called when a planned stop has completed.
+	/// @returns Ok, or the error that prevents the start.
 	virtual absl::Status start(std::function<void()> _onStopped) = 0;
 
-	/// Begins a planned stop.
+	/// Starts a planned stop.
 	virtual void drain() = 0;
 
-	/// Reads the settings again.
+	/// Reloads the settings, where the kind of node supports it.
 	virtual void reload() = 0;
 
-	/// @returns Address that callers use.
+	/// @returns Address for callers.
 	[[nodiscard]] virtual std::string callerAddress() const = 0;
 
-	/// @returns Address that other nodes use.
+	/// @returns Address for other nodes.
 	[[nodiscard]] virtual std::string peerAddress() const = 0;
 };
 
--- a/src/io_pool.cpp
+++ b/src/io_pool.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the traffic threads.
+/// Implementation of IoPool.
 
 #include "io_pool.h"
 
@@ -32,7 +32,7 @@
 	std::thread thread;
 };
 
-/// A timer that sets itself again.
+/// Timer that restarts itself after each run.
 struct PeriodicTimer : std::enable_shared_from_this<PeriodicTimer>
 {
 	PeriodicTimer(boost::asio::io_context& _context, std::int64_t _periodUs, std::function<void()> _function)
--- a/src/io_pool.h
+++ b/src/io_pool.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Traffic threads, each with an event loop of its own.
+/// Pool of I/O threads, each with its own event loop.
 
 #ifndef ROADFERRY_IO_POOL_H_HEADER_GUARD
 #define ROADFERRY_IO_POOL_H_HEADER_GUARD
@@ -22,7 +22,7 @@
 namespace roadferry
 {
 
-/// A fixed number of threads, each running one event loop until the pool is stopped.
+/// Fixed number of threads; each runs one event loop until the pool is stopped.
 class IoPool
 {
 public:
@@ -34,18 +34,18 @@
 	[[nodiscard]] std::size_t size() const;
 	[[nodiscard]] boost::asio::io_context& context(std::size_t _thread);
 
-	/// Runs a function on a thread.
+	/// Queues a function to run on a thread.
 	void post(std::size_t _thread, std::function<void()> _function);
 
-	/// Runs a function on a thread after some time.
-	/// @param[in] _delayUs Microseconds.
+	/// Runs a function on a thread after a delay.
+	/// @param[in] _delayUs Delay in microseconds.
 	void runAfter(std::size_t _thread, std::int64_t _delayUs, std::function<void()> _function);
 
-	/// Runs a function on a thread again and again until the pool is stopped.
-	/// @param[in] _periodUs Time between two runs in microseconds.
+	/// Runs a function on a thread periodically until the pool is stopped.
+	/// @param[in] _periodUs Time from the end of a run to the start of the next in microseconds.
 	void runEvery(std::size_t _thread, std::int64_t _periodUs, std::function<void()> _function);
 
-	/// Ends all loops and joins the threads.
+	/// Stops all event loops and joins the threads. Functions that are still queued do not run.
 	void stop();
 
 private:
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the daemon.
+/// Implementation of Node.
 
 #include "node.h"
 
@@ -20,10 +20,10 @@
 
 constexpr int kReadyCheckPeriodMs = 20;
 constexpr int kDrainCheckPeriodMs = 20;
-constexpr Micros kBalancerDetectionTime =
-	1500 * kMillisecond; ///< Longest time until the balancer has seen the failed check.
-
-constexpr Micros kReportFlushTime = 300 * kMillisecond; ///< For the last messages to leave.
+/// Maximum time until the balancer detects the failed readiness check.
+constexpr Micros kBalancerDetectionTime = 1500 * kMillisecond;
+/// Time for the last messages to be sent.
+constexpr Micros kReportFlushTime = 300 * kMillisecond;
 
 } // namespace
 
@@ -137,7 +137,7 @@
 			[&](const DemandReport& _typed)
 			{ onControl([this, _peer, _typed] { this->view->onDemand(_peer, _typed); }); },
 			[&](const ShareGrant& _typed) { onControl([this, _peer, _typed] { this->view->onGrant(_peer, _typed); }); },
-			// Of nodes that forward; this kind of node takes no part.
+			// Messages between forwarding nodes, which this kind of node ignores.
 			[](const RoutesAsk&) {},
 			[](const RoutesGive&) {},
 			[](const FeedRequest&) {},
@@ -156,7 +156,7 @@
 	{
 		return;
 	}
-	logInfo("node", "planned stop begins");
+	logInfo("node", "planned stop started");
 	this->drainStartedAt = monotonicNow();
 	QObject::connect(&this->drainTimer, &QTimer::timeout, [this] { this->continueDrain(); });
 	this->drainTimer.start(kDrainCheckPeriodMs);
@@ -164,7 +164,7 @@
 
 void Node::reload()
 {
-	logInfo("node", "settings are read at the next start");
+	logInfo("node", "reload ignored: settings are read at start only");
 }
 
 void Node::continueDrain()
@@ -174,7 +174,7 @@
 	{
 		return;
 	}
-	// Requests that still come over open connections are served; each connection closes after its answer.
+	// Requests that still arrive on open connections are served; each connection is closed after its response.
 	this->server->stopAccepting();
 	const bool idle = this->traffic->inFlight() == 0 && this->server->connections() == 0;
 	if (!idle && waited < this->settings.drainSeconds * kSecond)
@@ -191,7 +191,7 @@
 		return;
 	}
 	this->drainTimer.stop();
-	logInfo("node", absl::StrCat("planned stop ends with ", this->traffic->inFlight(), " requests in flight"));
+	logInfo("node", absl::StrCat("planned stop completed with ", this->traffic->inFlight(), " requests in flight"));
 	if (this->onStopped)
 	{
 		this->onStopped();
--- a/src/node.h
+++ b/src/node.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// One entry VM's daemon, put together from its parts.
+/// The daemon of an entry VM: creates and connects its components.
 
 #ifndef ROADFERRY_NODE_H_HEADER_GUARD
 #define ROADFERRY_NODE_H_HEADER_GUARD
@@ -18,7 +18,7 @@
 namespace roadferry
 {
 
-/// Owns all parts of the daemon. Made, started and stopped on the control thread.
+/// Owns all components of the daemon. Created, started and stopped on the control thread.
 class Node final : public Daemon
 {
 public:
@@ -27,16 +27,16 @@
 	Node(const Node&) = delete;
 	Node& operator=(const Node&) = delete;
 
-	/// Listens and begins to work.
-	/// @param[in] _onStopped Called when a planned stop has ended.
-	/// @returns Ok, or what went wrong.
+	/// Opens the ports and starts all components.
+	/// @param[in] _onStopped Called when a planned stop has completed.
+	/// @returns Ok, or Unavailable if a port cannot be opened.
 	absl::Status start(std::function<void()> _onStopped) override;
 
-	/// Begins a planned stop: fails the balancer's check, takes no new connections once the balancer has
-	/// noticed, and ends when all requests are answered.
+	/// Starts a planned stop: fails the readiness check of the balancer, stops accepting connections once the balancer
+	/// has detected that, and completes when all requests are answered or `drain_seconds` have passed.
 	void drain() override;
 
-	/// Settings of this kind of node hold until the next start.
+	/// Only logs that this kind of node reads its settings at start.
 	void reload() override;
 
 	[[nodiscard]] std::string callerAddress() const override;
@@ -50,7 +50,7 @@
 	void sendShutdownReport();
 
 	Settings settings;
-	QObject controlThread; ///< Receives what is to run on the control thread.
+	QObject controlThread; ///< Context object for functions queued to the control thread.
 	IoPool pool;
 	IoPool peerPool;
 	HttpClient client;
@@ -69,7 +69,7 @@
 	std::atomic<bool> stopRequested{false};
 	std::function<void()> onStopped;
 	Micros drainStartedAt = 0;
-	Micros shutdownReportSentAt = 0;
+	Micros shutdownReportSentAt = 0; ///< 0 until it has been sent.
 	QTimer readyTimer;
 	QTimer drainTimer;
 };
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of relayed calls.
+/// Implementation of Relay.
 
 #include "relay.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Sends what a request yields back to the node that passed it on.
+/// Sends the tokens and the result of a request back to the node that forwarded it.
 class PeerSink final : public AnswerSink
 {
 public:
@@ -136,7 +136,7 @@
 	}
 	if (otherIssuer)
 	{
-		// The address is the issuer's, the incarnation is not: that process is gone, and what it did cannot be known.
+		// The issuer ran at this address but was another incarnation: that process is gone, and the outcome is unknown.
 		writeOutcome(*sink, _request.ticket, issuerUnreachable());
 	}
 }
--- a/src/relay.h
+++ b/src/relay.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Passes calls under a ticket of another node on to that node.
+/// Forwards calls with a ticket of another node to that node.
 
 #ifndef ROADFERRY_RELAY_H_HEADER_GUARD
 #define ROADFERRY_RELAY_H_HEADER_GUARD
@@ -16,27 +16,28 @@
 namespace roadferry
 {
 
-/// Both sides of relayed calls. Its functions may be called from any thread.
+/// Relays calls between nodes: forwards calls to the issuer, and serves calls forwarded by other nodes.
+/// Thread-safe; onRequest() is called on the link's thread only.
 class Relay
 {
 public:
 	Relay(IoPool& _pool, Traffic& _traffic, std::function<void(const std::string&, const PeerMessage&)> _send);
 
-	/// Passes a call on.
+	/// Forwards a call to the issuer of its ticket.
 	/// @param[in] _thread Thread on which the sink is called.
 	/// @param[in] _issuer Incarnation that issued the ticket.
-	/// @param[in] _request What to pass on; the number is set here.
-	/// @param[in] _timeout When to stop waiting, from now.
-	/// @param[in] _sink Where the answer goes: unknown when the issuer cannot be reached.
+	/// @param[in] _request The call; its relay id is set here.
+	/// @param[in] _timeout Time to wait for the result, in microseconds.
+	/// @param[in] _sink Receives the answer, or the outcome unknown if the issuer does not answer in time.
 	void forward(std::size_t _thread, const Incarnation& _issuer, RelayRequest _request, Micros _timeout,
 				 std::shared_ptr<AnswerSink> _sink);
 
-	/// Takes a message of another node.
+	/// Handles messages of other nodes.
 	void onRequest(const std::string& _peer, const RelayRequest& _request);
 	void onToken(const RelayToken& _token);
 	void onResult(const RelayResult& _result);
 
-	/// Ends all calls that wait for that node.
+	/// Fails all calls that wait for an answer of the peer.
 	void onPeerClosed(const std::string& _peer);
 
 private:
@@ -54,8 +55,8 @@
 	IoPool& pool;
 	Traffic& traffic;
 	std::function<void(const std::string&, const PeerMessage&)> send;
-	std::mutex lock; ///< Guards what follows.
-	std::unordered_map<std::uint64_t, PendingCall> pending;
+	std::mutex lock;                                        ///< Guards pending and lastRelay.
+	std::unordered_map<std::uint64_t, PendingCall> pending; ///< By relay id.
 	std::uint64_t lastRelay = 0;
 	std::size_t nextThread = 0;
 };
--- a/src/result_store.cpp
+++ b/src/result_store.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the kept results.
+/// Implementation of ResultStore.
 
 #include "result_store.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// The tokens are about as large as the text that they make up.
+/// Counts the JSON text twice, since the tokens together are about as large as the text in it.
 std::size_t approximateBytes(const StoredResult& _result)
 {
 	return 2 * _result.json.size() + sizeof(StoredResult);
--- a/src/result_store.h
+++ b/src/result_store.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Results of ended requests, kept for later questions while memory for them lasts.
+/// Bounded store for the results of finished requests.
 
 #ifndef ROADFERRY_RESULT_STORE_H_HEADER_GUARD
 #define ROADFERRY_RESULT_STORE_H_HEADER_GUARD
@@ -14,26 +14,26 @@
 namespace roadferry
 {
 
-/// What was told of one request.
+/// Result that was sent for one request.
 struct StoredResult
 {
 	unsigned status = 0; ///< HTTP status.
 	Micros retryAfter = 0;
 	std::string json;
-	std::vector<std::string> tokens; ///< For copies that want them one by one.
+	std::vector<std::string> tokens; ///< For duplicates that request a stream.
 	bool operator==(const StoredResult&) const = default;
 };
 
-/// Results by the serial of their ticket; the oldest go first.
+/// Results by ticket serial. Evicts the oldest results when the capacity is exceeded.
 class ResultStore
 {
 public:
-	/// @param[in] _capacityBytes Memory for all results.
+	/// @param[in] _capacityBytes Memory for all results. The newest result is kept even if it alone exceeds it.
 	explicit ResultStore(std::size_t _capacityBytes);
 
 	void put(std::uint64_t _serial, std::shared_ptr<const StoredResult> _result);
 
-	/// @returns The result, or null when it is not there any more.
+	/// @returns The result, or null if it has been evicted or was never stored.
 	[[nodiscard]] std::shared_ptr<const StoredResult> find(std::uint64_t _serial) const;
 
 private:
--- a/src/stage_call.cpp
+++ b/src/stage_call.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of an attempt: what is sent, and what counts as a whole answer.
+/// Implementation of an attempt: builds the request, and checks that the response is complete.
 
 #include "stage_call.h"
 
@@ -44,7 +44,7 @@
 	return toText(object);
 }
 
-/// Reads an engine's stream of events, and the answer of a stage that does not stream.
+/// Parses the event stream of an engine, or the single response of a stage that does not stream.
 class ResponseReader
 {
 public:
@@ -53,7 +53,7 @@
 	{
 	}
 
-	/// Takes a piece of a stream.
+	/// Parses the next part of a stream.
 	void append(const std::string& _piece)
 	{
 		this->buffer += _piece;
@@ -70,7 +70,7 @@
 		}
 	}
 
-	/// Takes the end of the call.
+	/// Reports the result of the attempt when the call has ended.
 	void end(const CallEnd& _end, bool _streams)
 	{
 		this->handlers.onEnd(this->makeResult(_end, _streams));
@@ -156,7 +156,7 @@
 
 	[[nodiscard]] bool isNotStarted(const std::string& _body) const
 	{
-		// A stream hands its body over piece by piece, so that it is in the buffer.
+		// The body of a stream has arrived through append() and is in the buffer.
 		const auto object = parseObject(_body.empty() ? this->buffer : _body);
 		return object.ok() && object->value("not_begun").toBool();
 	}
--- a/src/stage_call.h
+++ b/src/stage_call.h
@@ -18,37 +18,37 @@
 namespace roadferry
 {
 
-/// What to send to the endpoint.
+/// The attempt to make and the data that the endpoint needs for it.
 struct StageCallSpec
 {
 	StartAttempt attempt;
-	std::string attemptId; ///< Id that the endpoint has to echo; never used twice by any node.
-	std::string requestId;
+	std::string attemptId;     ///< Echoed by the endpoint; unique across all nodes.
+	std::string requestId;     ///< Text of the ticket.
 	QJsonValue input;          ///< The caller's input.
-	QJsonValue previousOutput; ///< Output of the stage before, undefined for the first.
+	QJsonValue previousOutput; ///< Output of the previous stage; undefined for the first stage.
 	std::int64_t maxTokens = 0;
-	std::int64_t resumePosition = 0; ///< Tokens that the caller has already.
-	Micros timeout = 0;
+	std::int64_t resumePosition = 0; ///< Number of tokens that have been delivered to the caller.
+	Micros timeout = 0;              ///< From now to the end of the response.
 	TraceContext trace;
 };
 
-/// How the attempt ended.
+/// Result of an attempt.
 struct StageResult
 {
 	AttemptEnd end = AttemptNotSent{};
-	QJsonValue output; ///< Of a stage that does not stream.
+	QJsonValue output; ///< Set for stages that do not stream.
 	std::string error; ///< For logs and spans.
 };
 
-/// Called on the call's thread.
+/// Callbacks of an attempt; run on the thread of the call.
 struct StageCallHandlers
 {
-	/// A token of an engine, in order, without gap or overlap.
+	/// Called for each token of an engine, in order, without gap or overlap.
 	std::function<void(std::int64_t _position, const std::string& _text)> onToken;
 	std::function<void(const StageResult&)> onEnd;
 };
 
-/// Begins the attempt. Must be called on the thread that is named.
+/// Starts the attempt. Must be called on the given thread.
 std::shared_ptr<HttpCall> startStageCall(HttpClient& _client, std::size_t _thread, const StageCallSpec& _spec,
 										 StageCallHandlers _handlers);
 
--- a/src/submission.cpp
+++ b/src/submission.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Reads a caller's request, and maps outcomes to HTTP statuses.
+/// Parses the requests of callers, and maps outcomes to HTTP status codes.
 
 #include "traffic.h"
 
@@ -20,7 +20,7 @@
 
 constexpr std::int64_t kMaxDeadlineMs = 600'000;
 constexpr std::int64_t kMaxTokens = 1'000'000;
-constexpr std::size_t kMaxTextLength = 256;
+constexpr std::size_t kMaxTextLength = 256; ///< In characters.
 
 } // namespace
 
--- a/src/traffic.cpp
+++ b/src/traffic.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the requests in flight.
+/// Implementation of Traffic.
 
 #include "traffic.h"
 
@@ -29,15 +29,15 @@
 	return QString::fromUtf8(_text.data(), static_cast<qsizetype>(_text.size()));
 }
 
-/// What one stage of a request cost.
+/// Attempts and cost of one stage of a request; part of its result.
 struct StageReport
 {
 	std::string stage;
 	std::string endpoint;
 	std::int64_t attempts = 0;
-	Micros heldTime = 0; ///< Time that endpoints were held, all attempts together.
+	Micros heldTime = 0; ///< Time that endpoints were occupied, summed over all attempts.
 	std::int64_t tokens = 0;
-	std::string error; ///< Of the last attempt that failed.
+	std::string error; ///< Error of the last attempt, empty if it succeeded.
 };
 
 QJsonObject toJson(const StageReport& _report)
@@ -56,7 +56,7 @@
 
 } // namespace
 
-/// A request under way. Touched on its own thread only, apart from the fields that never change.
+/// A request in flight. Accessed on its own thread only, except for the fields that never change.
 struct Traffic::ActiveRequest
 {
 	std::uint64_t id = 0;
@@ -72,7 +72,7 @@
 	std::vector<std::string> tokens;
 	QJsonValue previousOutput = QJsonValue(QJsonValue::Undefined);
 	std::vector<StageReport> stages;
-	std::uint64_t currentAttempt = 0; ///< The one whose answer is wanted, 0 for none.
+	std::uint64_t currentAttempt = 0; ///< Attempt in progress, 0 for none. Responses of other attempts are ignored.
 	Micros attemptStartedAt = 0;
 	Span attemptSpan;
 	std::shared_ptr<HttpCall> call;
@@ -264,7 +264,7 @@
 	}
 	if (found == nullptr)
 	{
-		// The outcome is known longer than the answer is kept.
+		// Outcomes are kept longer than answers, so the answer of an answered request may have been evicted.
 		QJsonObject object = roadferry::toJson(_outcome);
 		object["request"] = text(_ticket);
 		if (_outcome.verdict == Verdict::Answered)
@@ -516,7 +516,7 @@
 			actions = this->dispatcher.cancel(request->second, monotonicNow());
 		}
 	}
-	// The sink is attached first, so that it hears of the end that the cancel brings about.
+	// The sink is attached first, so that it receives the result of the cancelled request.
 	auto issuer = this->applyDecision(_ticket, decision, _sink);
 	this->perform(this->pool.size(), actions);
 	return issuer;
