--- a/tests/deployment.cpp
+++ b/tests/deployment.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the processes under test.
+/// Implementation of Process and Deployment.
 
 #include "deployment.h"
 
@@ -76,7 +76,7 @@
 	this->pid = fork();
 	if (this->pid == 0)
 	{
-		// A test that fails leaves without running destructors; its processes end with it.
+		// A failing test exits without running destructors; its child processes must not outlive it.
 		prctl(PR_SET_PDEATHSIG, SIGKILL);
 		dup2(pipes[1], STDOUT_FILENO);
 		close(pipes[0]);
@@ -106,7 +106,7 @@
 		return;
 	}
 	const std::vector<std::string> words = absl::StrSplit(line, ' ');
-	cr_assert_geq(words.size(), 2, "no address from a process: %s", line.c_str());
+	cr_assert_geq(words.size(), 2, "process printed no address: %s", line.c_str());
 	this->address = words[1];
 	this->peerAddress = words.size() >= 4 ? words[3] : std::string();
 }
@@ -227,7 +227,7 @@
 	cr_assert_eq(answer.status, 200, "%s", answer.body.c_str());
 	for (const auto& node : this->nodes)
 	{
-		await("table at the daemon",
+		await("daemon has the table",
 			  [&]
 			  {
 				  const Answer status = this->call(node->address, "GET", "/operator/status", {}, kOperatorCredential);
@@ -315,7 +315,7 @@
 void Deployment::expectText(const QJsonValue& _value, const std::string& _expected)
 {
 	const std::string actual = _value.toString().toStdString();
-	cr_assert(actual == _expected, "is \"%s\", should be \"%s\"", actual.c_str(), _expected.c_str());
+	cr_assert(actual == _expected, "got \"%s\", expected \"%s\"", actual.c_str(), _expected.c_str());
 }
 
 void Deployment::await(const std::string& _what, const std::function<bool()>& _condition)
@@ -323,7 +323,7 @@
 	const auto begin = std::chrono::steady_clock::now();
 	while (!_condition())
 	{
-		cr_assert(std::chrono::steady_clock::now() - begin < kAwaitTimeout, "waited in vain: %s", _what.c_str());
+		cr_assert(std::chrono::steady_clock::now() - begin < kAwaitTimeout, "timed out waiting for: %s", _what.c_str());
 		std::this_thread::sleep_for(kAwaitPollInterval);
 	}
 }
--- a/tests/deployment.h
+++ b/tests/deployment.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Runs real processes for tests: stand-ins and daemons on loopback with ports that are free.
+/// Runs real processes for tests: stand-ins and daemons on free loopback ports.
 
 #ifndef ROADFERRY_DEPLOYMENT_H_HEADER_GUARD
 #define ROADFERRY_DEPLOYMENT_H_HEADER_GUARD
@@ -21,7 +21,7 @@
 namespace roadferry
 {
 
-/// A process under test. Ends with the object.
+/// A process under test; killed when the object is destroyed.
 class Process
 {
 public:
@@ -30,17 +30,19 @@
 	Process(const Process&) = delete;
 	Process& operator=(const Process&) = delete;
 
+	/// Sends a signal to the process.
 	void signal(int _signal) const;
 
-	/// Kills the process at once and waits for its end.
+	/// Kills the process with SIGKILL and waits until it has exited.
 	void kill();
 
-	/// @returns Exit code after the process has ended by itself; negative after a signal.
+	/// Waits until the process exits by itself.
+	/// @returns Exit code; negative if a signal ended the process.
 	int wait();
 
-	std::string address;     ///< From its first line of output.
-	std::string peerAddress; ///< Of a daemon: where other nodes reach it.
-	std::string readiness;   ///< Of a daemon that forwards: where readiness is asked.
+	std::string address;     ///< For clients; from the first line of output.
+	std::string peerAddress; ///< Of a daemon: address for other nodes.
+	std::string readiness;   ///< Of a forwarding daemon: address of the readiness probe.
 
 private:
 	void readAddresses(int _output);
@@ -48,7 +50,7 @@
 	pid_t pid = -1;
 };
 
-/// Answer to one HTTP call.
+/// Response to one HTTP call.
 struct Answer
 {
 	CallResult result = CallResult::NotSent;
@@ -64,43 +66,45 @@
 	Deployment();
 	~Deployment();
 
-	/// Adds an endpoint of a kind, in the pool of the same name, and lists it.
+	/// Starts an endpoint of a kind in the pool of the same name, and adds it to the VM list.
 	Process& startEndpoint(const std::string& _id, const std::string& _kind, std::vector<std::string> _flags = {});
 
-	/// Adds daemons, lists them, and waits until they are ready.
+	/// Starts daemons, adds them to the VM list, and waits until they are ready and know each other.
 	void startDaemons(std::size_t _count, const std::vector<std::string>& _flags = {});
 
-	/// Adds one daemon without waiting for it.
+	/// Starts one daemon and adds it to the VM list, without waiting until it is ready.
 	Process& startDaemon(const std::vector<std::string>& _flags = {});
 
-	/// Writes the rows of the pipelines that most tests use, and waits until every daemon has them.
+	/// Writes the table rows of the pipelines that most tests use, and waits until every daemon has them.
 	void writeTable();
 
-	/// Appends an edit through a daemon.
+	/// Submits an edit of the table to a daemon.
 	Answer editTable(std::size_t _daemon, const std::string& _body);
 
-	/// Sends one request, and waits for the answer.
+	/// Sends one request and waits for the response.
 	Answer call(const std::string& _address, const std::string& _method, const std::string& _target,
 				const std::string& _body = {}, const std::string& _credential = kCallerCredential);
 
-	/// Begins a request without waiting for its answer.
+	/// Sends a POST request without waiting for the response.
 	void callAsync(const std::string& _address, const std::string& _target, const std::string& _body,
 				   std::function<void(const Answer&)> _done, const std::string& _credential = kCallerCredential);
 
+	/// Requests a ticket from a daemon.
 	std::string issueTicket(std::size_t _daemon);
 
-	/// Sends bytes as they are, and reads until the other side closes.
+	/// Sends raw bytes and reads until the peer closes the connection.
 	static std::string sendRaw(const std::string& _address, const std::string& _bytes);
 
-	/// @returns Number of effects of each marker in the ledgers of all endpoints.
+	/// @returns Number of effects by marker, summed over the ledgers of all endpoints.
 	std::map<std::string, int> countEffects();
 
+	/// Sets the fault that a stand-in injects.
 	void injectFault(const Process& _process, const std::string& _body);
 
-	/// Waits until a condition holds; the test fails when it does not within 20 s.
+	/// Waits until a condition holds; the test fails if it does not within 20 s.
 	static void await(const std::string& _what, const std::function<bool()>& _condition);
 
-	/// Asserts that a JSON value is a certain text, and prints both when it is not.
+	/// Asserts that a JSON value is the expected text; prints both if it is not.
 	static void expectText(const QJsonValue& _value, const std::string& _expected);
 
 	static constexpr const char* kCallerCredential = "hall-credential";
--- a/tests/test_failures.cpp
+++ b/tests/test_failures.cpp
@@ -4,7 +4,8 @@
  */
 
 /// @file
-/// What must always hold, with real processes: kills, freezes, lost answers, cut streams, outages, planned stops.
+/// Guarantees under failures, tested with real processes: kills, freezes, lost responses, interrupted streams, outages
+/// and planned stops.
 
 #include "deployment.h"
 
@@ -28,7 +29,7 @@
 const std::string kMarkTarget = "/v1/pipelines/mark/requests";
 const std::string kCheckinTarget = "/v1/pipelines/checkin/requests";
 
-/// Two endpoints of each kind.
+/// Starts two endpoints of each kind.
 void startEndpointPairs(Deployment& _deployment, const std::vector<std::string>& _flags = {})
 {
 	for (const char* kind : {"encoder", "retriever", "reranker", "engine", "service"})
@@ -48,7 +49,7 @@
 	return bodyOf(_marker, 0, absl::StrCat(R"(,"repeatable":false,"deadline_ms":3000,"ticket":")", _ticket, R"(")"));
 }
 
-/// Answers of many requests, taken from another thread.
+/// Counts the answers of many requests by outcome. Thread-safe.
 class OutcomeCounts
 {
 public:
@@ -121,9 +122,10 @@
 	const auto effects = deployment.countEffects();
 	for (const std::string& marker : counts.markersOf("not_run"))
 	{
-		cr_assert_eq(effects.count(marker), 0, "%s was told not run, and ran", marker.c_str());
+		cr_assert_eq(effects.count(marker), 0, "%s was reported as not run, but took effect", marker.c_str());
 	}
-	// Of the killed node's tickets only those in flight may be unknown: 20 ms of load, far fewer than a third.
+	// Of the killed node's tickets, only those of requests in flight may be unknown: about 20 ms of load, far fewer
+	// than a third of all requests.
 	cr_assert_geq(counts.count("answered"), kRequests);
 	cr_assert_leq(counts.markersOf("unknown").size(), 40);
 }
@@ -135,7 +137,7 @@
 	deployment.startDaemons(2);
 	deployment.writeTable();
 	const std::string body = nonRepeatableBody("frozen", deployment.issueTicket(0));
-	// Without a deadline of its own a call waits for the pipeline's, not for ever.
+	// A call without its own deadline waits until the pipeline's deadline, not indefinitely.
 	const std::string open =
 		absl::StrCat(R"({"input":{"marker":"open"},"repeatable":false,"ticket":")", deployment.issueTicket(0), R"("})");
 	deployment.nodes[0]->signal(SIGSTOP);
@@ -259,7 +261,7 @@
 	cr_assert_eq(deployment.call(leaving.address, "POST", "/leave").status, 200);
 	for (const auto& node : deployment.nodes)
 	{
-		Deployment::await("the daemon knows",
+		Deployment::await("daemon knows that the endpoint is leaving",
 						  [&]
 						  {
 							  const Answer list = deployment.call(node->address, "GET", "/operator/endpoints", {},
@@ -297,7 +299,7 @@
 	cr_assert_eq(deployment.nodes[0]->wait(), 0);
 	Deployment::await("all answers", [&] { return counts.done == 30; });
 	cr_assert_eq(counts.count("answered"), 30);
-	// The other node answers for the one that has stopped: an unused ticket was certainly not run.
+	// The other node answers for the stopped one from its shutdown report: an unused ticket was not run.
 	const Answer late = deployment.call(deployment.nodes[1]->address, "POST", kCheckinTarget, unused);
 	Deployment::expectText(late.json["outcome"], "not_run");
 	cr_assert(late.json["repeat_safe"].toBool());
@@ -326,11 +328,11 @@
 		const std::string& address = deployment.nodes.back()->address;
 		Deployment::await("new daemon has the table from its peer",
 						  [&] { return deployment.call(address, "GET", "/ready").status == 200; });
-		Deployment::await("new daemon serves", [&]
+		Deployment::await("new daemon answers requests", [&]
 						  { return deployment.call(address, "POST", kCheckinTarget, bodyOf("t", 0)).status == 200; });
 	}
 	deployment.injectFault(*deployment.log, R"({"mode":"none"})");
-	Deployment::await("the log takes edits again", [&] { return deployment.editTable(3, change).status == 200; });
+	Deployment::await("log accepts edits again", [&] { return deployment.editTable(3, change).status == 200; });
 }
 
 Test(failures, of_two_concurrent_edits_one_is_accepted_and_one_gets_a_conflict)
@@ -367,7 +369,7 @@
 				},
 				Deployment::kOperatorCredential);
 		}
-		Deployment::await("both operators are told", [&] { return done == 2; });
+		Deployment::await("both operators have a response", [&] { return done == 2; });
 		cr_assert_eq(accepted, 1);
 		cr_assert_eq(conflicts, 1);
 	}
--- a/tests/test_path.cpp
+++ b/tests/test_path.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The whole path, as separate processes: from a caller through the balancer and a daemon to all stages and back.
+/// End-to-end tests with separate processes: requests of a caller through the balancer and a daemon to all stages.
 
 #include "deployment.h"
 
@@ -49,7 +49,7 @@
 		"roadferry-standin",
 		{"--kind=balancer", absl::StrCat("--backends=", deployment.nodes[0]->address, ",", deployment.nodes[1]->address,
 										 ",", deployment.nodes[2]->address)});
-	Deployment::await("balancer has seen the daemons",
+	Deployment::await("balancer has detected the daemons",
 					  [&] { return deployment.call(balancer.address, "GET", "/ready").status == 200; });
 
 	const Answer answer = deployment.call(balancer.address, "POST", "/v1/pipelines/mark/requests",
@@ -97,7 +97,7 @@
 	const std::string longHeader = Deployment::sendRaw(
 		address, "GET /health HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(20'000, 'a') + "\r\n\r\n");
 	cr_assert_eq(longHeader.find("HTTP/1.1 431"), 0, "%s", longHeader.c_str());
-	// A websocket without the peers' credential is turned away.
+	// A websocket upgrade on the peer port without the peer secret is rejected.
 	const std::string unauthenticated =
 		Deployment::sendRaw(deployment.nodes[0]->peerAddress,
 							"GET /peer HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
