--- a/src/caller_api.h
+++ b/src/caller_api.h
@@ -23,22 +23,22 @@
 public:
 	CallerApi(const Settings& _settings, Traffic& _traffic, Relay& _relay);
 
-	/// @returns Whether the request was for this interface.
+	/// @returns False if the path or the method does not belong to this interface.
 	bool handle(const HttpRequest& _request, const std::shared_ptr<HttpReply>& _reply);
 
 private:
 	void issueTicket(const std::string& _workspace, const std::shared_ptr<HttpReply>& _reply);
 	void submit(const HttpRequest& _request, const std::string& _workspace, const std::string& _pipeline,
 				const std::shared_ptr<HttpReply>& _reply);
-	void askOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
-					 const std::shared_ptr<HttpReply>& _reply);
+	void queryOrCancel(const HttpRequest& _request, const std::string& _workspace, const std::string& _ticket,
+					   const std::shared_ptr<HttpReply>& _reply);
 
 	const Settings& settings;
 	Traffic& traffic;
 	Relay& relay;
 };
 
-/// @returns An error as all interfaces give it: {"error": {"code", "message"}}.
+/// @returns An error in the format of all interfaces: {"error": {"code", "message"}}.
 HttpResponse errorResponse(unsigned _status, const std::string& _code, const std::string& _message);
 
 } // namespace roadferry
--- a/src/cluster_view.cpp
+++ b/src/cluster_view.cpp
@@ -74,7 +74,7 @@
 	const Micros now = monotonicNow();
 	this->sendAll(this->membership.tick(now));
 	this->shareAllocator.setNodes(this->listedNodes, this->membership.alive(), now);
-	this->traffic.setNodes(this->membership.alive().size());
+	this->traffic.setNodeCount(this->membership.alive().size());
 	this->shareAllocator.setDemand(this->traffic.takeDemand());
 	for (const ShareAction& action : this->shareAllocator.tick(now))
 	{
--- a/src/standin_balancer.cpp
+++ b/src/standin_balancer.cpp
@@ -214,7 +214,7 @@
 		return error.message();
 	}
 	this->impl->accept();
-	this->impl->pool.every(0, kCheckPeriodUs, [impl = this->impl] { impl->checkBackends(); });
+	this->impl->pool.runEvery(0, kCheckPeriodUs, [impl = this->impl] { impl->checkBackends(); });
 	return {};
 }
 
