--- a/src/cbor_reader.h
+++ b/src/cbor_reader.h
@@ -64,7 +64,7 @@
 		const QCborValue value = this->map.value(QLatin1String(_name));
 		if (!value.isByteArray())
 		{
-			this->setError(_name, "a byte string");
+			this->setError(_name, "bytes");
 		}
 		return value.toByteArray().toStdString();
 	}
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -22,7 +22,7 @@
 	Cancel
 };
 
-/// Call of a client, relayed to the incarnation that issued its ticket.
+/// Request of a caller, relayed to the incarnation that issued its ticket.
 struct RelayRequest
 {
 	std::uint64_t relayId = 0; ///< Chosen by the sender and repeated in the replies.
