--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -231,7 +231,7 @@
 	return QJsonObject{{"node", toQString(this->traffic.self().node)},
 					   {"failure_domain", toQString(this->settings.failureDomain)},
 					   {"ready", this->control.isReady()},
-					   {"draining", this->traffic.draining()},
+					   {"draining", this->traffic.isDraining()},
 					   {"table_offset", static_cast<qint64>(this->control.replica().table().snapshot().offset)},
 					   {"in_force_offset", static_cast<qint64>(this->view.lowestTableOffset())},
 					   {"members", members},
--- a/src/peer_link.cpp
+++ b/src/peer_link.cpp
@@ -374,7 +374,7 @@
 	this->impl->selfAddress =
 		_announcedAddress.empty() ? _ip + ":" + std::to_string(endpoint.port()) : _announcedAddress;
 	this->impl->server.start_accept(error);
-	this->impl->pool.every(0, kSilenceCheckPeriodUs, [impl = this->impl] { impl->checkSilence(); });
+	this->impl->pool.runEvery(0, kSilenceCheckPeriodUs, [impl = this->impl] { impl->checkSilence(); });
 	return error ? "peer listen: " + error.message() : std::string();
 }
 
--- a/src/standin_endpoint.cpp
+++ b/src/standin_endpoint.cpp
@@ -163,7 +163,7 @@
 		{
 			delay += this->faults.slowDelayMs();
 		}
-		this->pool.after(0, delay * kMicrosPerMillisecond, [this, _run] { this->respond(_run); });
+		this->pool.runAfter(0, delay * kMicrosPerMillisecond, [this, _run] { this->respond(_run); });
 	}
 
 	/// Responds to the calls that FaultMode::Freeze has held back.
@@ -224,7 +224,7 @@
 												   {"position", static_cast<qint64>(_run->position)},
 												   {"text", token}}));
 		_run->position += 1;
-		this->pool.after(0, this->settings.tokenMs * kMicrosPerMillisecond, [this, _run] { this->stream(_run); });
+		this->pool.runAfter(0, this->settings.tokenMs * kMicrosPerMillisecond, [this, _run] { this->stream(_run); });
 	}
 
 	/// Frees the slot of a call and starts queued calls.
--- a/tests/test_messages.cpp
+++ b/tests/test_messages.cpp
@@ -116,7 +116,7 @@
 				   {
 					   std::string body = R"({"input":{"a":1},"deadline_ms":3000,"max_tokens":5,"stream":true})";
 					   body[*rc::gen::inRange<std::size_t>(0, body.size())] = *rc::gen::arbitrary<char>();
-					   const auto submission = submissionFromBody("hall", "mark", body);
+					   const auto submission = parseSubmission("hall", "mark", body);
 					   const bool hasMessage = submission.ok() || !submission.status().message().empty();
 					   RC_ASSERT(hasMessage);
 					   std::string csv = "kind,name,field,value\nworkspace,hall,weight,2\nstage,e,pool,p\n";
