--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -144,7 +144,8 @@
 	{
 		return false;
 	}
-	const std::string workspace = nameOfBearer(this->settings.callers, headerValue(_request.headers, "Authorization"));
+	const std::string workspace =
+		authenticateBearer(this->settings.callers, headerValue(_request.headers, "Authorization"));
 	if (workspace.empty())
 	{
 		_reply->send(
@@ -201,7 +202,7 @@
 		submission->ticket = *issued;
 		// The caller does not know this ticket and cannot query the outcome later, so the request is cancelled when it
 		// disconnects.
-		_reply->onGone([&traffic = this->traffic, ticket = *issued] { traffic.onCallerDisconnected(ticket); });
+		_reply->onDisconnect([&traffic = this->traffic, ticket = *issued] { traffic.onCallerDisconnected(ticket); });
 	}
 	auto sink = makeSink(submission->stream, _reply);
 	const auto issuer = this->traffic.submit(_reply->thread(), *submission, sink);
@@ -215,7 +216,7 @@
 	request.workspace = _workspace;
 	request.pipeline = _pipeline;
 	request.body = _request.body;
-	request.trace = submission->trace.header();
+	request.trace = submission->trace.toTraceparent();
 	const Micros timeout = this->traffic.requestTimeout(*submission) + kRelayTimeoutMargin;
 	this->relay.forward(_reply->thread(), *issuer, std::move(request), timeout, std::move(sink));
 }
@@ -238,7 +239,7 @@
 		return;
 	}
 	RelayRequest request;
-	request.kind = isCancel ? RelayKind::Cancel : RelayKind::Look;
+	request.kind = isCancel ? RelayKind::Cancel : RelayKind::Query;
 	request.ticket = _ticket;
 	request.workspace = _workspace;
 	this->relay.forward(_reply->thread(), *issuer, std::move(request), kQueryTimeout, std::move(sink));
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -62,7 +62,7 @@
 	trafficSettings.self = Incarnation{this->link->self(), randomNumber()};
 	trafficSettings.dispatcher = this->settings.dispatcher;
 	trafficSettings.dispatcher.seed = randomNumber();
-	trafficSettings.resultCacheBytes = this->settings.answerBytes;
+	trafficSettings.resultCacheBytes = this->settings.resultCacheBytes;
 	this->traffic =
 		std::make_unique<Traffic>(this->pool, this->client, this->metrics, *this->traces, std::move(trafficSettings));
 	this->relay = std::make_unique<Relay>(this->pool, *this->traffic, sendPeer);
@@ -85,7 +85,7 @@
 	this->traffic->start();
 	this->control->start();
 	this->view->start();
-	QObject::connect(&this->readyTimer, &QTimer::timeout, [this] { this->isReady = this->control->ready(); });
+	QObject::connect(&this->readyTimer, &QTimer::timeout, [this] { this->isReady = this->control->isReady(); });
 	this->readyTimer.start(kReadyCheckPeriodMs);
 	return absl::OkStatus();
 }
@@ -128,18 +128,18 @@
 			[&](const RelayRequest& _typed) { this->relay->onRequest(_peer, _typed); },
 			[&](const RelayToken& _typed) { this->relay->onToken(_typed); },
 			[&](const RelayResult& _typed) { this->relay->onResult(_typed); },
-			[&](const TableAsk& _typed)
-			{ onControl([this, _peer, _typed] { this->control->onTableAsk(_peer, _typed); }); },
-			[&](const TableGive& _typed) { onControl([this, _typed] { this->control->onTableGive(_typed); }); },
-			[&](const LeavingWord& _typed) { onControl([this, _typed] { this->control->onLeavingWord(_typed); }); },
+			[&](const TableRequest& _typed)
+			{ onControl([this, _peer, _typed] { this->control->onTableRequest(_peer, _typed); }); },
+			[&](const TableResponse& _typed) { onControl([this, _typed] { this->control->onTableResponse(_typed); }); },
+			[&](const LeavingNotice& _typed) { onControl([this, _typed] { this->control->onLeavingNotice(_typed); }); },
 			[&](const ShutdownReport& _typed) { this->traffic->onShutdownReport(_typed); },
 			[&](const Gossip& _typed) { onControl([this, _peer, _typed] { this->view->onGossip(_peer, _typed); }); },
 			[&](const DemandReport& _typed)
 			{ onControl([this, _peer, _typed] { this->view->onDemand(_peer, _typed); }); },
 			[&](const ShareGrant& _typed) { onControl([this, _peer, _typed] { this->view->onGrant(_peer, _typed); }); },
 			// Messages between forwarding nodes, which this kind of node ignores.
-			[](const RoutesAsk&) {},
-			[](const RoutesGive&) {},
+			[](const RoutesRequest&) {},
+			[](const RoutesResponse&) {},
 			[](const FeedRequest&) {},
 			[](const FeedResponse&) {},
 			[](const PieceSubmit&) {},
--- a/src/peer_messages.h
+++ b/src/peer_messages.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Messages between nodes, and their CBOR form.
+/// Messages between nodes and their CBOR encoding.
 
 #ifndef ROADFERRY_PEER_MESSAGES_H_HEADER_GUARD
 #define ROADFERRY_PEER_MESSAGES_H_HEADER_GUARD
@@ -14,18 +14,18 @@
 namespace roadferry
 {
 
-/// What a relayed call is to do.
+/// Operation of a relayed call.
 enum class RelayKind
 {
 	Submit,
-	Look,
+	Query,
 	Cancel
 };
 
-/// A caller's call, passed on to the incarnation that issued its ticket.
+/// Call of a client, relayed to the incarnation that issued its ticket.
 struct RelayRequest
 {
-	std::uint64_t relay = 0; ///< Chosen by the sender; echoed in answers.
+	std::uint64_t relayId = 0; ///< Chosen by the sender and repeated in the replies.
 	RelayKind kind = RelayKind::Submit;
 	std::string ticket;
 	std::string workspace;
@@ -38,68 +38,68 @@
 /// One token of a relayed request.
 struct RelayToken
 {
-	std::uint64_t relay = 0;
+	std::uint64_t relayId = 0;
 	std::int64_t position = 0;
 	std::string text;
 	bool operator==(const RelayToken&) const = default;
 };
 
-/// End of a relayed call.
+/// Result of a relayed call.
 struct RelayResult
 {
-	std::uint64_t relay = 0;
+	std::uint64_t relayId = 0;
 	std::int64_t status = 0;
 	Micros retryAfter = 0;
 	std::string json;
 	bool operator==(const RelayResult&) const = default;
 };
 
-/// Asks for the table, when the log cannot be read.
-struct TableAsk
+/// Requests the table from another node when the log cannot be read.
+struct TableRequest
 {
-	std::uint64_t offset = 0; ///< What the sender holds already.
-	bool operator==(const TableAsk&) const = default;
+	std::uint64_t offset = 0; ///< Log offset up to which the sender has the table.
+	bool operator==(const TableRequest&) const = default;
 };
 
-/// The table of a node that holds more than was asked with.
-struct TableGive
+/// Table of a node whose log offset is at least the requested one.
+struct TableResponse
 {
-	std::string snapshot; ///< JSON form of a TableSnapshot.
-	bool operator==(const TableGive&) const = default;
+	std::string snapshot; ///< TableSnapshot as JSON.
+	bool operator==(const TableResponse&) const = default;
 };
 
-/// Endpoints that are known to be leaving.
-struct LeavingWord
+/// Reports endpoints that are leaving.
+struct LeavingNotice
 {
 	std::vector<std::string> endpoints;
-	bool operator==(const LeavingWord&) const = default;
+	bool operator==(const LeavingNotice&) const = default;
 };
 
-/// Asks for what another node knows of routes and endpoints, while the platform is away.
-struct RoutesAsk
+/// Requests the routes and endpoints of another node while the platform is unavailable.
+struct RoutesRequest
 {
-	std::uint64_t version = 0; ///< Version of the routes that the sender holds, 0 for none.
-	bool endpoints = false;    ///< Whether the sender knows no endpoints yet.
-	bool operator==(const RoutesAsk&) const = default;
+	std::uint64_t version = 0;   ///< Version of the sender's routes, 0 for none.
+	bool needsEndpoints = false; ///< Whether the sender has no endpoint list yet.
+	bool operator==(const RoutesRequest&) const = default;
 };
 
-/// What a node knows beyond what was asked with.
-struct RoutesGive
+/// Routes and endpoints of a node, as far as the requesting node lacks them.
+struct RoutesResponse
 {
-	std::string record; ///< The routes as the platform keeps them; empty when the asker holds them.
+	std::string record; ///< Result of packRecord; empty if the requesting node has this version.
 	std::vector<ListedEndpoint> endpoints;
-	std::vector<std::string> leaving; ///< Endpoints that were seen leaving.
-	bool operator==(const RoutesGive&) const = default;
+	std::vector<std::string> leaving; ///< Ids of endpoints known to be leaving.
+	bool operator==(const RoutesResponse&) const = default;
 };
 
-using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableAsk, TableGive, LeavingWord,
-								 ShutdownReport, Gossip, DemandReport, ShareGrant, RoutesAsk, RoutesGive, FeedRequest,
-								 FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
+using PeerMessage = std::variant<RelayRequest, RelayToken, RelayResult, TableRequest, TableResponse, LeavingNotice,
+								 ShutdownReport, Gossip, DemandReport, ShareGrant, RoutesRequest, RoutesResponse,
+								 FeedRequest, FeedResponse, PieceSubmit, PieceUpdate, PieceCancel, PieceFree>;
 
-/// @returns The message as CBOR.
+/// @returns The message encoded as CBOR.
 std::string encode(const PeerMessage& _message);
 
-/// @returns The message, or InvalidArgument that names the field at fault.
+/// @returns The message, or InvalidArgument that names the invalid field.
 absl::StatusOr<PeerMessage> decode(const std::string& _bytes);
 
 } // namespace roadferry
--- a/src/relay.cpp
+++ b/src/relay.cpp
@@ -69,7 +69,7 @@
 		relay = ++this->lastRelay;
 		this->pending.emplace(relay, PendingCall{_thread, _issuer.node, _request.ticket, std::move(_sink)});
 	}
-	_request.relay = relay;
+	_request.relayId = relay;
 	this->send(_issuer.node, _request);
 	this->pool.runAfter(_thread, _timeout, [this, relay] { this->fail(relay); });
 }
@@ -99,7 +99,7 @@
 
 void Relay::onRequest(const std::string& _peer, const RelayRequest& _request)
 {
-	auto sink = std::make_shared<PeerSink>(_peer, _request.relay, this->send);
+	auto sink = std::make_shared<PeerSink>(_peer, _request.relayId, this->send);
 	const auto ticket = ticketFromText(_request.ticket);
 	if (!ticket.ok())
 	{
@@ -107,7 +107,7 @@
 		return;
 	}
 	std::optional<Incarnation> otherIssuer;
-	if (_request.kind == RelayKind::Look)
+	if (_request.kind == RelayKind::Query)
 	{
 		otherIssuer = this->traffic.query(*ticket, _request.workspace, sink);
 	}
@@ -144,7 +144,7 @@
 void Relay::onToken(const RelayToken& _token)
 {
 	const std::lock_guard<std::mutex> guard(this->lock);
-	const auto found = this->pending.find(_token.relay);
+	const auto found = this->pending.find(_token.relayId);
 	if (found == this->pending.end())
 	{
 		return;
@@ -155,7 +155,7 @@
 
 void Relay::onResult(const RelayResult& _result)
 {
-	const std::optional<PendingCall> taken = this->takePending(_result.relay);
+	const std::optional<PendingCall> taken = this->takePending(_result.relayId);
 	if (!taken)
 	{
 		return;
--- a/src/trace.cpp
+++ b/src/trace.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the spans.
+/// Implementation of tracing.
 
 #include "trace.h"
 
@@ -26,13 +26,14 @@
 
 constexpr std::size_t kTraceIdLength = 32;
 constexpr std::size_t kSpanIdLength = 16;
-constexpr int kStatusError = 2;
+constexpr int kStatusError = 2; ///< STATUS_CODE_ERROR of OTLP.
 
 std::string randomHex64()
 {
 	return absl::StrCat(absl::Hex(QRandomGenerator::global()->generate64(), absl::kZeroPad16));
 }
 
+/// @returns Whether a text is a valid id: lower-case hexadecimal digits that are not all zero.
 bool isHex(const std::string& _text, std::size_t _length)
 {
 	const auto hex = [](char _character)
@@ -73,7 +74,7 @@
 
 } // namespace
 
-std::string TraceContext::header() const
+std::string TraceContext::toTraceparent() const
 {
 	return absl::StrCat("00-", this->traceId, "-", this->spanId, "-01");
 }
@@ -99,7 +100,7 @@
 	return std::chrono::duration_cast<std::chrono::nanoseconds>(now).count();
 }
 
-TraceWriter::TraceWriter(const std::string& _file, std::string _service) : service(std::move(_service))
+TraceWriter::TraceWriter(const std::string& _file, std::string _instanceId) : instanceId(std::move(_instanceId))
 {
 	if (!_file.empty())
 	{
@@ -115,7 +116,7 @@
 	}
 	const QJsonObject scope{{"scope", QJsonObject{{"name", "roadferry"}}}, {"spans", QJsonArray{spanJson(_span)}}};
 	const QJsonObject resource{{"attributes", QJsonArray{attribute("service.name", "roadferryd"),
-														 attribute("service.instance.id", this->service)}}};
+														 attribute("service.instance.id", this->instanceId)}}};
 	const QJsonObject resourceSpans{{"resource", resource}, {"scopeSpans", QJsonArray{scope}}};
 	const std::string line = toText(QJsonObject{{"resourceSpans", QJsonArray{resourceSpans}}});
 	const std::lock_guard<std::mutex> guard(this->lock);
--- a/tests/silent_proxy.h
+++ b/tests/silent_proxy.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// A TCP proxy on the loopback whose open connections can fall silent, while new ones work.
+/// TCP proxy on the loopback interface that can stop forwarding without closing its connections.
 
 #ifndef ROADFERRY_SILENT_PROXY_H_HEADER_GUARD
 #define ROADFERRY_SILENT_PROXY_H_HEADER_GUARD
@@ -25,7 +25,7 @@
 namespace roadferry
 {
 
-/// Forwards each connection to one port. Runs in a thread of its own.
+/// Forwards each connection to one port. Runs in its own thread.
 class SilentProxy
 {
 public:
@@ -43,12 +43,12 @@
 
 	~SilentProxy()
 	{
-		this->ended = true;
+		this->stopping = true;
 		this->thread.join();
 		for (const Pair& pair : this->pairs)
 		{
-			::close(pair.inner);
-			::close(pair.outer);
+			::close(pair.serverSocket);
+			::close(pair.clientSocket);
 		}
 		::close(this->listener);
 	}
@@ -61,20 +61,20 @@
 		return "127.0.0.1:" + std::to_string(this->port);
 	}
 
-	/// From now on nothing passes on the connections that are open.
-	void silence()
+	/// Stops forwarding on the connections that are open. Later connections work.
+	void silenceOpenConnections()
 	{
-		this->silenceAsked = true;
-		while (this->silenceAsked)
+		this->silenceRequested = true;
+		while (this->silenceRequested)
 		{
 			std::this_thread::yield();
 		}
 	}
 
-	/// From now on nothing passes on any connection, new ones included.
-	void silenceForGood()
+	/// Stops forwarding on all connections, including later ones.
+	void silenceAll()
 	{
-		this->silent = true;
+		this->allSilent = true;
 	}
 
 	[[nodiscard]] std::size_t accepted() const
@@ -85,11 +85,11 @@
 private:
 	static constexpr int kPollMs = 5;
 
-	/// One connection and the one that it is forwarded on.
+	/// Connection of a client and the connection to the target.
 	struct Pair
 	{
-		int outer = -1;
-		int inner = -1;
+		int clientSocket = -1;
+		int serverSocket = -1;
 		bool silent = false;
 	};
 
@@ -105,15 +105,15 @@
 	void accept()
 	{
 		Pair pair;
-		pair.outer = ::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC);
-		pair.inner = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+		pair.clientSocket = ::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC);
+		pair.serverSocket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 		sockaddr_in address = loopback(this->target);
-		::connect(pair.inner, reinterpret_cast<sockaddr*>(&address), sizeof(address));
+		::connect(pair.serverSocket, reinterpret_cast<sockaddr*>(&address), sizeof(address));
 		this->pairs.push_back(pair);
 		this->acceptedCount += 1;
 	}
 
-	/// @returns False when the connection has ended.
+	/// @returns False if the connection has been closed.
 	static bool forward(int _from, int _to, bool _silent)
 	{
 		std::array<char, 16'384> bytes{};
@@ -127,36 +127,36 @@
 
 	void run()
 	{
-		while (!this->ended)
+		while (!this->stopping)
 		{
-			std::vector<pollfd> waits = {{this->listener, POLLIN, 0}};
+			std::vector<pollfd> pollEntries = {{this->listener, POLLIN, 0}};
 			for (const Pair& pair : this->pairs)
 			{
-				waits.push_back({pair.outer, POLLIN, 0});
-				waits.push_back({pair.inner, POLLIN, 0});
+				pollEntries.push_back({pair.clientSocket, POLLIN, 0});
+				pollEntries.push_back({pair.serverSocket, POLLIN, 0});
 			}
-			::poll(waits.data(), waits.size(), kPollMs);
-			if (this->silenceAsked || this->silent)
+			::poll(pollEntries.data(), pollEntries.size(), kPollMs);
+			if (this->silenceRequested || this->allSilent)
 			{
 				for (Pair& pair : this->pairs)
 				{
 					pair.silent = true;
 				}
-				this->silenceAsked = false;
+				this->silenceRequested = false;
 			}
-			if ((waits[0].revents & POLLIN) != 0)
+			if ((pollEntries[0].revents & POLLIN) != 0)
 			{
 				this->accept();
 			}
 			this->pairs.remove_if(
 				[](const Pair& _pair)
 				{
-					const bool open = forward(_pair.outer, _pair.inner, _pair.silent) &&
-									  forward(_pair.inner, _pair.outer, _pair.silent);
+					const bool open = forward(_pair.clientSocket, _pair.serverSocket, _pair.silent) &&
+									  forward(_pair.serverSocket, _pair.clientSocket, _pair.silent);
 					if (!open)
 					{
-						::close(_pair.outer);
-						::close(_pair.inner);
+						::close(_pair.clientSocket);
+						::close(_pair.serverSocket);
 					}
 					return !open;
 				});
@@ -167,9 +167,9 @@
 	std::uint16_t port = 0;
 	int listener = -1;
 	std::list<Pair> pairs;
-	std::atomic<bool> ended{false};
-	std::atomic<bool> silenceAsked{false};
-	std::atomic<bool> silent{false}; ///< All connections, for good.
+	std::atomic<bool> stopping{false};
+	std::atomic<bool> silenceRequested{false};
+	std::atomic<bool> allSilent{false}; ///< Set by silenceAll().
 	std::atomic<std::size_t> acceptedCount{0};
 	std::thread thread;
 };
--- a/tests/test_table.cpp
+++ b/tests/test_table.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// The table: operators that race, answers that are lost, records that expire, nodes that start anew. The oracle is one
-/// table that sees every record.
+/// Tests of the table with concurrent operators, lost answers, expired records and replaced nodes. The oracle is a
+/// table that applies every record.
 
 #include "property.h"
 #include "table_json.h"
@@ -15,28 +15,28 @@
 
 using namespace roadferry;
 
-/// The platform's log with limited retention.
+/// Model of the platform's log, with limited retention.
 struct ModelLog
 {
-	std::uint64_t first = 1;
+	std::uint64_t oldestOffset = 1;
 	std::deque<LogEntry> entries;
 
 	std::uint64_t append(const LogRecord& _record)
 	{
-		const std::uint64_t offset = this->first + this->entries.size();
-		// Through the text form, as on the wire.
+		const std::uint64_t offset = this->oldestOffset + this->entries.size();
+		// Converts the record to its text form and back, as on the wire.
 		const auto read = recordFromText(recordToText(_record));
 		RC_ASSERT(read.ok());
 		this->entries.push_back(LogEntry{offset, *read});
 		return offset;
 	}
 
-	std::vector<LogEntry> from(std::uint64_t _offset, std::size_t _most) const
+	std::vector<LogEntry> from(std::uint64_t _offset, std::size_t _maxCount) const
 	{
 		std::vector<LogEntry> result;
 		for (const LogEntry& entry : this->entries)
 		{
-			if (entry.offset >= _offset && result.size() < _most)
+			if (entry.offset >= _offset && result.size() < _maxCount)
 			{
 				result.push_back(entry);
 			}
@@ -49,11 +49,12 @@
 		while (this->entries.size() > _keep)
 		{
 			this->entries.pop_front();
-			this->first += 1;
+			this->oldestOffset += 1;
 		}
 	}
 };
 
+/// A log, three nodes that read it, and the oracle.
 class World
 {
 public:
@@ -61,7 +62,7 @@
 	{
 	}
 
-	/// Two operators may hold the same old view; copies of one edit may be appended twice.
+	/// An operator edits one row, based on the table of one node, which may be out of date.
 	void edit(std::size_t _node)
 	{
 		const TableSnapshot& view = this->nodes[_node].table().snapshot();
@@ -75,17 +76,17 @@
 		{
 			change.row = WorkspaceRow{name, *rc::gen::element(0.5, 1.0, 2.0, 5000.0), 0};
 		}
-		const TableEdit edit{"edit-" + std::to_string(++this->lastEdit), "ana", {change}};
-		this->sent.push_back(edit);
+		const TableEdit edit{"edit-" + std::to_string(++this->editCount), "ana", {change}};
+		this->sentEdits.push_back(edit);
 		this->appendEdit(edit);
 	}
 
-	/// The answer to an append was lost, and somebody sends the same edit again.
-	void repeat()
+	/// The same edit is appended again, as after a lost answer to an append.
+	void resendEdit()
 	{
-		if (!this->sent.empty())
+		if (!this->sentEdits.empty())
 		{
-			this->appendEdit(*rc::gen::elementOf(this->sent));
+			this->appendEdit(*rc::gen::elementOf(this->sentEdits));
 		}
 	}
 
@@ -95,59 +96,62 @@
 		const EditOutcome outcome = this->oracle.apply(offset, _edit);
 		if (std::holds_alternative<EditAccepted>(outcome))
 		{
-			RC_ASSERT(this->accepted.insert(_edit.id).second);
+			RC_ASSERT(this->acceptedIds.insert(_edit.id).second);
 		}
 	}
 
-	void snapshot(std::size_t _node)
+	void appendSnapshot(std::size_t _node)
 	{
 		const TableSnapshot& state = this->nodes[_node].table().snapshot();
 		if (!this->nodes[_node].hasGap() && state.offset > 0)
 		{
 			this->oracle.skip(this->log.append(state));
-			this->covered = std::max(this->covered, state.offset);
+			this->coveredOffset = std::max(this->coveredOffset, state.offset);
 		}
 	}
 
-	void read(std::size_t _node)
+	void readLog(std::size_t _node)
 	{
-		LogFold& node = this->nodes[_node];
+		TableReplica& node = this->nodes[_node];
 		const std::uint64_t before = node.table().snapshot().offset;
-		const std::size_t most = *rc::gen::inRange<std::size_t>(1, 6);
-		node.take(this->log.first, this->log.from(node.nextOffset(), most));
+		const std::size_t maxEntries = *rc::gen::inRange<std::size_t>(1, 6);
+		node.applyEntries(this->log.oldestOffset, this->log.from(node.nextOffset(), maxEntries));
 		RC_ASSERT(node.table().snapshot().offset >= before);
 	}
 
-	/// A VM is replaced by one that holds nothing.
-	void replace(std::size_t _node)
+	/// Replaces a VM by one with an empty table.
+	void replaceNode(std::size_t _node)
 	{
-		this->nodes[_node] = LogFold();
+		this->nodes[_node] = TableReplica();
 	}
 
-	void askPeer(std::size_t _node, std::size_t _peer)
+	void installSnapshotFromPeer(std::size_t _node, std::size_t _peer)
 	{
-		const TableSnapshot given = this->nodes[_peer].table().snapshot();
+		const TableSnapshot peerSnapshot = this->nodes[_peer].table().snapshot();
 		const std::uint64_t before = this->nodes[_node].table().snapshot().offset;
-		this->nodes[_node].takeSnapshot(given);
+		this->nodes[_node].installSnapshot(peerSnapshot);
 		RC_ASSERT(this->nodes[_node].table().snapshot().offset >= before);
 	}
 
-	/// Records expire, but never those since the newest snapshot on the log: that is the snapshots' duty.
+	/// Expires old records, but none after the last offset that a snapshot on the log covers; appending snapshots in
+	/// time is the nodes' task.
 	void expire()
 	{
-		const std::uint64_t next = this->log.first + this->log.entries.size();
-		const std::uint64_t keep = next - (this->covered + 1) + 1;
+		const std::uint64_t next = this->log.oldestOffset + this->log.entries.size();
+		const std::uint64_t keep = next - (this->coveredOffset + 1) + 1;
 		this->log.expire(static_cast<std::size_t>(std::min<std::uint64_t>(keep, this->log.entries.size())));
 	}
 
-	/// After all is read, every node holds what the oracle holds.
-	void settle()
+	/// Checks that every node holds the oracle's table after it has read the whole log. A node may have a gap only
+	/// while no snapshot was appended.
+	void checkConvergence()
 	{
-		for (LogFold& node : this->nodes)
+		for (TableReplica& node : this->nodes)
 		{
-			for (int round = 0; round < 400 && node.nextOffset() < this->log.first + this->log.entries.size(); ++round)
+			for (int round = 0; round < 400 && node.nextOffset() < this->log.oldestOffset + this->log.entries.size();
+				 ++round)
 			{
-				node.take(this->log.first, this->log.from(node.nextOffset(), 5));
+				node.applyEntries(this->log.oldestOffset, this->log.from(node.nextOffset(), 5));
 			}
 			if (!node.hasGap())
 			{
@@ -155,19 +159,19 @@
 			}
 			else
 			{
-				RC_ASSERT(this->covered == 0);
+				RC_ASSERT(this->coveredOffset == 0);
 			}
 		}
 	}
 
 private:
 	ModelLog log;
-	std::vector<LogFold> nodes;
+	std::vector<TableReplica> nodes;
 	Table oracle;
-	std::vector<TableEdit> sent;
-	std::set<std::string> accepted;
-	std::uint64_t covered = 0;
-	std::uint64_t lastEdit = 0;
+	std::vector<TableEdit> sentEdits;
+	std::set<std::string> acceptedIds;
+	std::uint64_t coveredOffset = 0;
+	std::uint64_t editCount = 0;
 };
 
 void step(World& _world)
@@ -181,29 +185,29 @@
 		_world.edit(node);
 		break;
 	case 3:
-		_world.repeat();
+		_world.resendEdit();
 		break;
 	case 4:
-		_world.snapshot(node);
+		_world.appendSnapshot(node);
 		break;
 	case 5:
-		_world.replace(node);
+		_world.replaceNode(node);
 		break;
 	case 6:
-		_world.askPeer(node, *rc::gen::inRange<std::size_t>(0, 3));
+		_world.installSnapshotFromPeer(node, *rc::gen::inRange<std::size_t>(0, 3));
 		break;
 	case 7:
 		_world.expire();
 		break;
 	default:
-		_world.read(node);
+		_world.readLog(node);
 		break;
 	}
 }
 
 } // namespace
 
-Test(table, all_nodes_end_with_the_rows_of_the_oracle)
+Test(table, all_nodes_converge_to_the_table_of_the_oracle)
 {
 	checkHistories("table",
 				   []
@@ -214,11 +218,11 @@
 					   {
 						   step(world);
 					   }
-					   world.settle();
+					   world.checkConvergence();
 				   });
 }
 
-Test(table, late_copy_of_an_edit_cannot_bring_a_deleted_row_back)
+Test(table, delayed_copy_of_an_edit_does_not_restore_a_deleted_row)
 {
 	const RowKey key{RowKind::Workspace, "hall"};
 	const TableEdit create{"a", "ana", {RowChange{key, 0, WorkspaceRow{"hall", 1.0, 0}}}};
@@ -232,20 +236,20 @@
 	cr_assert_null(table.workspace("hall"));
 }
 
-Test(table, edit_that_breaks_a_limit_names_row_field_and_limit)
+Test(table, invalid_edit_reports_row_field_and_requirement)
 {
 	Table table;
 	const RowKey key{RowKind::Stage, "encode"};
 	StageRow row;
 	row.name = "encode";
 	row.pool = "gpu";
-	row.attempts = 9;
+	row.maxAttempts = 9;
 	const EditOutcome outcome = table.apply(1, TableEdit{"a", "ana", {RowChange{key, 0, row}}});
 	const auto expected = EditInvalid{key, "attempts", "a whole number from 1 to 5"};
 	cr_assert(std::get<EditInvalid>(outcome) == expected);
 }
 
-Test(table, records_and_rows_survive_hostile_text)
+Test(table, arbitrary_record_text_is_parsed_or_rejected_with_a_message)
 {
 	checkHistories("records",
 				   []
