--- a/tools/bench_allocations.cpp
+++ b/tools/bench_allocations.cpp
@@ -31,7 +31,7 @@
 	return block;
 }
 
-void release(void* _block)
+void deallocate(void* _block)
 {
 	if (_block != nullptr)
 	{
@@ -54,28 +54,28 @@
 
 void operator delete(void* _block) noexcept
 {
-	release(_block);
+	deallocate(_block);
 }
 
 void operator delete[](void* _block) noexcept
 {
-	release(_block);
+	deallocate(_block);
 }
 
 void operator delete(void* _block, std::size_t) noexcept
 {
-	release(_block);
+	deallocate(_block);
 }
 
 void operator delete[](void* _block, std::size_t) noexcept
 {
-	release(_block);
+	deallocate(_block);
 }
 
 namespace roadferry
 {
 
-Allocations allocationsNow()
+Allocations currentAllocations()
 {
 	return Allocations{s_count, s_liveBytes};
 }
--- a/tools/bench_capacity.cpp
+++ b/tools/bench_capacity.cpp
@@ -26,7 +26,7 @@
 
 double liveBytes(const Allocations& _before)
 {
-	return static_cast<double>(allocationsNow().liveBytes - _before.liveBytes);
+	return static_cast<double>(currentAllocations().liveBytes - _before.liveBytes);
 }
 
 /// Nanoseconds and allocations of one of many equal steps.
@@ -37,36 +37,36 @@
 };
 
 template<class Step>
-Cost costOf(std::size_t _count, Step _step)
+Cost measureCost(std::size_t _count, Step _step)
 {
-	const Allocations before = allocationsNow();
+	const Allocations before = currentAllocations();
 	const auto begin = std::chrono::steady_clock::now();
 	for (std::size_t index = 0; index < _count; ++index)
 	{
 		_step(index);
 	}
 	const std::chrono::duration<double, std::nano> took = std::chrono::steady_clock::now() - begin;
-	const auto allocations = static_cast<double>(allocationsNow().count - before.count);
+	const auto allocations = static_cast<double>(currentAllocations().count - before.count);
 	return Cost{took.count() / static_cast<double>(_count), allocations / static_cast<double>(_count)};
 }
 
 void reportTickets(BenchReport& _report)
 {
-	const Allocations before = allocationsNow();
+	const Allocations before = currentAllocations();
 	TicketRegistry registry(Incarnation{"10.0.0.1:8500", 1}, TicketLimits{});
 	std::vector<Ticket> tickets;
 	tickets.reserve(kTickets);
 	const auto reserved = static_cast<double>(kTickets * sizeof(Ticket));
-	const Cost issue = costOf(kTickets, [&](std::size_t _index)
-							  { tickets.push_back(*registry.issue("workspace-of-usual-length", _index, 0)); });
-	_report.atMost("ticket.bytes", (liveBytes(before) - reserved) / static_cast<double>(kTickets), "B", 400);
-	const Cost present = costOf(kTickets, [&](std::size_t _index)
-								{ registry.present(tickets[_index], "workspace-of-usual-length", 1, 1); });
-	_report.noBound("ticket.issue", issue.nanoseconds, "ns");
-	_report.noBound("ticket.present", present.nanoseconds, "ns");
+	const Cost issue = measureCost(kTickets, [&](std::size_t _index)
+								   { tickets.push_back(*registry.issue("workspace-of-usual-length", _index, 0)); });
+	_report.checkAtMost("ticket.bytes", (liveBytes(before) - reserved) / static_cast<double>(kTickets), "B", 400);
+	const Cost present = measureCost(kTickets, [&](std::size_t _index)
+									 { registry.present(tickets[_index], "workspace-of-usual-length", 1, 1); });
+	_report.printInfo("ticket.issue", issue.nanoseconds, "ns");
+	_report.printInfo("ticket.present", present.nanoseconds, "ns");
 }
 
-TableEdit wholeTable()
+TableEdit makeTableEdit()
 {
 	TableEdit edit;
 	edit.id = "all";
@@ -86,33 +86,35 @@
 
 void reportTable(BenchReport& _report)
 {
-	const TableEdit edit = wholeTable();
-	const Allocations before = allocationsNow();
+	const TableEdit edit = makeTableEdit();
+	const Allocations before = currentAllocations();
 	Table table;
 	table.apply(1, edit);
 	const auto rows = static_cast<double>(table.snapshot().rows.size());
-	_report.atMost("table.bytes_per_row", liveBytes(before) / rows, "B", 600);
+	_report.checkAtMost("table.bytes_per_row", liveBytes(before) / rows, "B", 600);
 	const std::string snapshot = recordToText(table.snapshot());
-	_report.atMost("table.snapshot_bytes_per_row", static_cast<double>(snapshot.size()) / rows, "B", 300);
+	_report.checkAtMost("table.snapshot_bytes_per_row", static_cast<double>(snapshot.size()) / rows, "B", 300);
 	std::uint64_t revision = 1;
 	const RowKey key{RowKind::Workspace, "workspace-7"};
-	const Cost fold = costOf(1'000,
-							 [&](std::size_t _index)
-							 {
-								 const TableEdit one{"e" + std::to_string(_index),
-													 "ana",
-													 {RowChange{key, revision, WorkspaceRow{"workspace-7", 2, 5}}}};
-								 revision += 1;
-								 table.apply(revision, one);
-							 });
-	_report.noBound("table.fold_one_edit", fold.nanoseconds, "ns");
-	const Cost copy = costOf(100, [&](std::size_t) { const auto published = std::make_shared<const Table>(table); });
-	_report.noBound("table.publish_copy", copy.nanoseconds, "ns");
-	const Cost read = costOf(20, [&](std::size_t) { (void)recordFromText(snapshot); });
-	_report.noBound("table.read_snapshot", read.nanoseconds, "ns");
+	const Cost applyEdit =
+		measureCost(1'000,
+					[&](std::size_t _index)
+					{
+						const TableEdit one{"e" + std::to_string(_index),
+											"ana",
+											{RowChange{key, revision, WorkspaceRow{"workspace-7", 2, 5}}}};
+						revision += 1;
+						table.apply(revision, one);
+					});
+	_report.printInfo("table.fold_one_edit", applyEdit.nanoseconds, "ns");
+	const Cost copy =
+		measureCost(100, [&](std::size_t) { const auto published = std::make_shared<const Table>(table); });
+	_report.printInfo("table.publish_copy", copy.nanoseconds, "ns");
+	const Cost parse = measureCost(20, [&](std::size_t) { (void)recordFromText(snapshot); });
+	_report.printInfo("table.read_snapshot", parse.nanoseconds, "ns");
 }
 
-std::vector<Endpoint> engines(std::size_t _count)
+std::vector<Endpoint> makeEndpoints(std::size_t _count)
 {
 	std::vector<Endpoint> list;
 	for (std::size_t index = 0; index < _count; ++index)
@@ -131,15 +133,15 @@
 void reportDispatcher(BenchReport& _report, std::size_t _endpoints)
 {
 	auto table = std::make_shared<Table>();
-	table->apply(1, wholeTable());
-	const std::vector<Endpoint> list = engines(_endpoints);
-	const Allocations before = allocationsNow();
+	table->apply(1, makeTableEdit());
+	const std::vector<Endpoint> list = makeEndpoints(_endpoints);
+	const Allocations before = currentAllocations();
 	Dispatcher dispatcher{DispatcherConfig{}};
 	dispatcher.setTable(table);
 	dispatcher.setEndpoints(list);
 	const std::string suffix = "." + std::to_string(_endpoints);
-	_report.atMost("dispatcher.bytes_per_endpoint" + suffix, liveBytes(before) / static_cast<double>(_endpoints), "B",
-				   900);
+	_report.checkAtMost("dispatcher.bytes_per_endpoint" + suffix, liveBytes(before) / static_cast<double>(_endpoints),
+						"B", 900);
 	Micros now = kSecond;
 	const auto submit = [&](std::size_t _index)
 	{
@@ -152,32 +154,34 @@
 		spec.prefix = 1 + _index % 500;
 		return dispatcher.submit(spec, now);
 	};
-	const Cost whole = costOf(kRequests,
-							  [&](std::size_t _index)
-							  {
-								  now += 10;
-								  Actions actions = submit(_index);
-								  while (!actions.empty() && std::holds_alternative<StartAttempt>(actions.front()))
-								  {
-									  const std::uint64_t attempt = std::get<StartAttempt>(actions.front()).attempt;
-									  actions = dispatcher.attemptEnded(attempt, AttemptAnswered{}, now);
-								  }
-							  });
-	_report.noBound("dispatcher.request_of_two_stages" + suffix, whole.nanoseconds, "ns");
-	_report.atMost("dispatcher.allocations_per_request" + suffix, whole.allocations, "count", 80);
-	const Allocations idle = allocationsNow();
-	constexpr std::size_t kFlying = 1'000;
-	for (std::size_t index = 0; index < kFlying; ++index)
+	const Cost perRequest =
+		measureCost(kRequests,
+					[&](std::size_t _index)
+					{
+						now += 10;
+						Actions actions = submit(_index);
+						while (!actions.empty() && std::holds_alternative<StartAttempt>(actions.front()))
+						{
+							const std::uint64_t attempt = std::get<StartAttempt>(actions.front()).attempt;
+							actions = dispatcher.attemptEnded(attempt, AttemptAnswered{}, now);
+						}
+					});
+	_report.printInfo("dispatcher.request_of_two_stages" + suffix, perRequest.nanoseconds, "ns");
+	_report.checkAtMost("dispatcher.allocations_per_request" + suffix, perRequest.allocations, "count", 80);
+	const Allocations idle = currentAllocations();
+	constexpr std::size_t kRequestsInFlight = 1'000;
+	for (std::size_t index = 0; index < kRequestsInFlight; ++index)
 	{
 		submit(kRequests + index);
 	}
-	_report.atMost("dispatcher.bytes_per_request_in_flight" + suffix, liveBytes(idle) / kFlying, "B", 4'000);
+	_report.checkAtMost("dispatcher.bytes_per_request_in_flight" + suffix, liveBytes(idle) / kRequestsInFlight, "B",
+						4'000);
 }
 
-void reportMemberBytes(BenchReport& _report)
+void reportMemberCost(BenchReport& _report)
 {
 	constexpr std::size_t kMembers = 520;
-	const Allocations before = allocationsNow();
+	const Allocations before = currentAllocations();
 	Membership membership("10.0.0.1:8500", 1, MembershipConfig{}, 1);
 	for (std::size_t index = 0; index < kMembers; ++index)
 	{
@@ -185,10 +189,10 @@
 		gossip.updates.push_back(Member{"10.0.1." + std::to_string(index) + ":8500", 1, MemberState::Alive, 0});
 		membership.receive(gossip.updates.front().address, gossip, 1);
 	}
-	_report.atMost("membership.bytes_per_member", liveBytes(before) / kMembers, "B", 800);
+	_report.checkAtMost("membership.bytes_per_member", liveBytes(before) / kMembers, "B", 800);
 	const Cost tick =
-		costOf(1'000, [&](std::size_t _index) { membership.tick(static_cast<Micros>(_index) * kSecond); });
-	_report.noBound("membership.tick.520", tick.nanoseconds, "ns");
+		measureCost(1'000, [&](std::size_t _index) { membership.tick(static_cast<Micros>(_index) * kSecond); });
+	_report.printInfo("membership.tick.520", tick.nanoseconds, "ns");
 }
 
 } // namespace
@@ -201,7 +205,7 @@
 	{
 		reportDispatcher(_report, endpoints);
 	}
-	reportMemberBytes(_report);
+	reportMemberCost(_report);
 }
 
 } // namespace roadferry
--- a/tools/bench_cases.cpp
+++ b/tools/bench_cases.cpp
@@ -22,18 +22,18 @@
 
 } // namespace
 
-BenchCase examCase(double _burst)
+BenchCase makeExamCase(double _burstFactor)
 {
 	BenchCase result;
-	result.name = _burst > 1 ? "exam" : "exam_quiet";
+	result.name = _burstFactor > 1 ? "exam" : "exam_quiet";
 	result.workspaces = kWorkspaces;
-	result.burst = _burst;
+	result.burstFactor = _burstFactor;
 	result.pools = {{"encode", StageKind::Encoder, 4, 8, 12},
 					{"retrieve", StageKind::Retriever, 4, 8, 15},
 					{"rerank", StageKind::Reranker, 4, 8, 20},
 					{"generate", StageKind::Engine, 9, 24, 1500},
 					{"hall", StageKind::Service, 5, 8, 10}};
-	result.kinds = {
+	result.workloads = {
 		{"marking", {"encode", "retrieve", "rerank", "generate"}, 16, 10 * kSecond, 5'000, 260, false, 24, true},
 		{"viva", {"retrieve", "generate"}, 20, 3 * kSecond, 600, 40, false, 40, true},
 		{"tagging", {"encode", "rerank"}, 60, 2 * kSecond, 0, 0, false, 0, true},
@@ -42,23 +42,23 @@
 	return result;
 }
 
-BenchCase stormCase(double _burst)
+BenchCase makeStormCase(double _burstFactor)
 {
 	BenchCase result;
-	result.name = _burst > 1 ? "storm" : "storm_quiet";
+	result.name = _burstFactor > 1 ? "storm" : "storm_quiet";
 	result.workspaces = kWorkspaces;
-	result.burst = _burst;
+	result.burstFactor = _burstFactor;
 	result.pools = {{"encode", StageKind::Encoder, 5, 8, 12},
 					{"retrieve", StageKind::Retriever, 8, 8, 30},
 					{"rerank", StageKind::Reranker, 5, 8, 20},
 					{"generate", StageKind::Engine, 18, 24, 900},
 					{"ventanilla", StageKind::Service, 4, 8, 15}};
-	result.kinds = {
+	result.workloads = {
 		{"explain", {"encode", "retrieve", "rerank", "generate"}, 50, 3 * kSecond, 1'500, 90, false, 60, true},
 		{"outage", {"encode", "retrieve", "generate"}, 40, 3 * kSecond, 800, 50, false, 30, true},
 		{"history", {"ventanilla"}, 80, 2 * kSecond, 0, 0, false, 0, false},
 		{"clinic", {"ventanilla"}, 20, 1 * kSecond, 0, 0, true, 0, false}};
-	if (_burst > 1)
+	if (_burstFactor > 1)
 	{
 		result.faults = {{"generate", kFailureDomains, 25 * kSecond, 55 * kSecond, 0.4, false},
 						 {"retrieve", kFailureDomains, 25 * kSecond, 55 * kSecond, 0.4, false}};
@@ -66,35 +66,35 @@
 	return result;
 }
 
-BenchCase subsetCase(std::size_t _endpointsPerPool)
+BenchCase makeSubsetCase(std::size_t _maxEndpointsPerPool)
 {
-	constexpr std::int64_t kTimes = 4;
-	BenchCase result = examCase(3);
-	result.name = "subset." + std::to_string(_endpointsPerPool);
-	result.nodes = 12;
-	result.endpointsPerPool = _endpointsPerPool;
-	result.end = 50 * kSecond;
+	constexpr std::int64_t kScale = 4;
+	BenchCase result = makeExamCase(3);
+	result.name = "subset." + std::to_string(_maxEndpointsPerPool);
+	result.nodeCount = 12;
+	result.maxEndpointsPerPool = _maxEndpointsPerPool;
+	result.arrivalsEnd = 50 * kSecond;
 	for (BenchPool& pool : result.pools)
 	{
-		pool.count *= kTimes;
+		pool.endpointCount *= kScale;
 	}
-	for (BenchKind& kind : result.kinds)
+	for (BenchWorkload& workload : result.workloads)
 	{
-		kind.perSecond *= kTimes;
-		kind.prefixes *= kTimes;
+		workload.requestsPerSecond *= kScale;
+		workload.prefixCount *= kScale;
 	}
 	return result;
 }
 
-BenchCase outageCase()
+BenchCase makeOutageCase()
 {
-	BenchCase result = examCase(1);
+	BenchCase result = makeExamCase(1);
 	result.name = "outage";
 	result.faults = {{"rerank", 1, 30 * kSecond, 50 * kSecond, 1, true}};
 	return result;
 }
 
-DispatcherConfig baselineConfig(const std::string& _placement)
+DispatcherConfig makeBaselineConfig(const std::string& _placement)
 {
 	DispatcherConfig config;
 	config.placement = _placement;
--- a/tools/bench_cases.h
+++ b/tools/bench_cases.h
@@ -15,20 +15,20 @@
 {
 
 /// Pariksha Setu at the start of an exam.
-/// @param[in] _burst Multiple of the planned load; 1 for a quiet day.
-BenchCase examCase(double _burst);
+/// @param[in] _burstFactor Multiple of the planned load; 1 for a quiet day.
+BenchCase makeExamCase(double _burstFactor);
 
 /// Maule in a storm, with the endpoints of one failure domain slowed down; 1 for a quiet day.
-BenchCase stormCase(double _burst);
+BenchCase makeStormCase(double _burstFactor);
 
 /// The exam at four times its size, with twelve nodes that each use only a part of each pool.
-BenchCase subsetCase(std::size_t _endpointsPerPool);
+BenchCase makeSubsetCase(std::size_t _maxEndpointsPerPool);
 
 /// A pool of rerankers that is out for 20 s and comes back, at the planned load.
-BenchCase outageCase();
+BenchCase makeOutageCase();
 
 /// The settings of the baselines.
-DispatcherConfig baselineConfig(const std::string& _placement);
+DispatcherConfig makeBaselineConfig(const std::string& _placement);
 
 } // namespace roadferry
 
--- a/tools/bench_endpoint.cpp
+++ b/tools/bench_endpoint.cpp
@@ -17,161 +17,165 @@
 namespace
 {
 
-constexpr double kDone = 1e-6;
+constexpr double kEpsilon = 1e-6;
 constexpr double kMicrosPerSecond = 1e6;
 
 } // namespace
 
-BenchEndpoint::BenchEndpoint(Endpoint _endpoint, std::optional<BenchEngine> _engine)
+BenchEndpoint::BenchEndpoint(Endpoint _endpoint, std::optional<BenchEngineModel> _engine)
 	: endpoint(std::move(_endpoint)), engine(_engine)
 {
 }
 
 double BenchEndpoint::decodeRate() const
 {
-	const auto decoding = static_cast<double>(std::count_if(
-		this->running.begin(), this->running.end(), [](const BenchJob& _job) { return _job.prefillLeft <= kDone; }));
-	const bool prefilling = decoding < static_cast<double>(this->running.size());
-	const double slowdown = prefilling ? this->engine->prefillSlowdown : 1.0;
-	const double step = (this->engine->stepBase + this->engine->stepPerSequence * decoding) * slowdown;
-	return this->speed / step;
+	const auto decoding =
+		static_cast<double>(std::count_if(this->running.begin(), this->running.end(),
+										  [](const BenchJob& _job) { return _job.prefillTokensLeft <= kEpsilon; }));
+	const bool isPrefilling = decoding < static_cast<double>(this->running.size());
+	const double slowdown = isPrefilling ? this->engine->prefillSlowdown : 1.0;
+	const double stepUs = (this->engine->stepBaseUs + this->engine->stepPerSequenceUs * decoding) * slowdown;
+	return this->speedFactor / stepUs;
 }
 
-double BenchEndpoint::untilChange() const
+double BenchEndpoint::microsToNextChange() const
 {
-	double least = INFINITY;
+	double shortest = INFINITY;
 	if (!this->engine)
 	{
 		for (const BenchJob& job : this->running)
 		{
-			least = std::min(least, job.workLeft / this->speed);
+			shortest = std::min(shortest, job.serviceTimeLeftUs / this->speedFactor);
 		}
-		return least;
+		return shortest;
 	}
 	const double rate = this->decodeRate();
-	bool prefilling = false;
+	bool isPrefilling = false;
 	for (const BenchJob& job : this->running)
 	{
-		if (job.prefillLeft <= kDone)
+		if (job.prefillTokensLeft <= kEpsilon)
 		{
-			least = std::min(least, job.decodeLeft / rate);
+			shortest = std::min(shortest, job.decodeTokensLeft / rate);
 		}
-		else if (!prefilling)
+		else if (!isPrefilling)
 		{
-			prefilling = true;
-			least =
-				std::min(least, job.prefillLeft * kMicrosPerSecond / (this->engine->prefillPerSecond * this->speed));
+			isPrefilling = true;
+			shortest = std::min(shortest, job.prefillTokensLeft * kMicrosPerSecond /
+											  (this->engine->prefillTokensPerSecond * this->speedFactor));
 		}
 	}
-	return least;
+	return shortest;
 }
 
-void BenchEndpoint::step(double _micros)
+void BenchEndpoint::advanceBy(double _micros)
 {
 	if (!this->engine)
 	{
 		for (BenchJob& job : this->running)
 		{
-			job.workLeft -= _micros * this->speed;
+			job.serviceTimeLeftUs -= _micros * this->speedFactor;
 		}
 		return;
 	}
 	const double rate = this->decodeRate();
-	bool prefilling = false;
+	bool isPrefilling = false;
 	for (BenchJob& job : this->running)
 	{
-		if (job.prefillLeft <= kDone)
+		if (job.prefillTokensLeft <= kEpsilon)
 		{
-			job.decodeLeft -= rate * _micros;
+			job.decodeTokensLeft -= rate * _micros;
 		}
-		else if (!prefilling)
+		else if (!isPrefilling)
 		{
 			// One prompt at a time, in the order of arrival.
-			prefilling = true;
-			job.prefillLeft -= this->engine->prefillPerSecond * this->speed * _micros / kMicrosPerSecond;
-			if (job.prefillLeft <= kDone)
+			isPrefilling = true;
+			job.prefillTokensLeft -=
+				this->engine->prefillTokensPerSecond * this->speedFactor * _micros / kMicrosPerSecond;
+			if (job.prefillTokensLeft <= kEpsilon)
 			{
-				job.firstToken = this->now + static_cast<Micros>(_micros);
+				job.firstTokenAt = this->now + static_cast<Micros>(_micros);
 			}
 		}
 	}
 }
 
-double BenchEndpoint::cachedPart(std::uint64_t _prefix)
+double BenchEndpoint::touchPrefix(std::uint64_t _prefix)
 {
 	if (_prefix == 0)
 	{
 		return 0;
 	}
-	const auto found = std::find(this->prefixes.begin(), this->prefixes.end(), _prefix);
-	const bool hit = found != this->prefixes.end();
-	if (hit)
+	const auto found = std::find(this->cachedPrefixes.begin(), this->cachedPrefixes.end(), _prefix);
+	const bool isCached = found != this->cachedPrefixes.end();
+	if (isCached)
 	{
-		this->prefixes.erase(found);
+		this->cachedPrefixes.erase(found);
 	}
-	this->prefixes.push_front(_prefix);
-	if (this->prefixes.size() > this->engine->cachedPrefixes)
+	this->cachedPrefixes.push_front(_prefix);
+	if (this->cachedPrefixes.size() > this->engine->prefixCacheCapacity)
 	{
-		this->prefixes.pop_back();
+		this->cachedPrefixes.pop_back();
 	}
-	return hit ? this->engine->cachedShare : 0;
+	return isCached ? this->engine->cachedPromptShare : 0;
 }
 
-void BenchEndpoint::fill()
+void BenchEndpoint::startQueued()
 {
-	const std::size_t most = this->engine ? this->engine->batch : static_cast<std::size_t>(this->endpoint.slots);
-	while (!this->queued.empty() && this->running.size() < most)
+	const std::size_t maxRunning =
+		this->engine ? this->engine->maxBatchSize : static_cast<std::size_t>(this->endpoint.slots);
+	while (!this->queued.empty() && this->running.size() < maxRunning)
 	{
 		BenchJob& job = this->queued.front();
 		if (this->engine)
 		{
-			job.prefillLeft = std::max(1.0, job.promptTokens * (1 - this->cachedPart(job.prefix)));
+			job.prefillTokensLeft = std::max(1.0, job.promptTokens * (1 - this->touchPrefix(job.prefix)));
 		}
 		this->running.splice(this->running.end(), this->queued, this->queued.begin());
 	}
 }
 
-void BenchEndpoint::collect(std::vector<BenchJob>& _ended)
+void BenchEndpoint::removeFinished(std::vector<BenchJob>& _finished)
 {
 	for (auto job = this->running.begin(); job != this->running.end();)
 	{
-		const bool done = this->engine ? job->prefillLeft <= kDone && job->decodeLeft <= kDone : job->workLeft <= kDone;
-		if (!done)
+		const bool isFinished = this->engine ? job->prefillTokensLeft <= kEpsilon && job->decodeTokensLeft <= kEpsilon
+											 : job->serviceTimeLeftUs <= kEpsilon;
+		if (!isFinished)
 		{
 			++job;
 			continue;
 		}
-		_ended.push_back(*job);
+		_finished.push_back(*job);
 		job = this->running.erase(job);
 	}
-	this->fill();
+	this->startQueued();
 }
 
 std::vector<BenchJob> BenchEndpoint::advance(Micros _now)
 {
-	std::vector<BenchJob> ended;
+	std::vector<BenchJob> finished;
 	while (this->now < _now)
 	{
-		const double change = this->untilChange();
+		const double untilChange = this->microsToNextChange();
 		const auto span = static_cast<double>(_now - this->now);
-		const double micros = std::min(span, std::max(1.0, std::ceil(change)));
-		this->step(micros);
+		const double micros = std::min(span, std::max(1.0, std::ceil(untilChange)));
+		this->advanceBy(micros);
 		this->now += static_cast<Micros>(micros);
-		this->collect(ended);
+		this->removeFinished(finished);
 	}
-	return ended;
+	return finished;
 }
 
-void BenchEndpoint::add(BenchJob _job, Micros _now)
+void BenchEndpoint::addJob(BenchJob _job, Micros _now)
 {
-	_job.began = _now;
-	_job.decodeLeft = _job.maxTokens;
-	_job.workLeft = _job.work;
+	_job.arrivedAt = _now;
+	_job.decodeTokensLeft = _job.maxTokens;
+	_job.serviceTimeLeftUs = _job.serviceTimeUs;
 	this->queued.push_back(_job);
-	this->fill();
+	this->startQueued();
 }
 
-std::optional<BenchJob> BenchEndpoint::remove(std::size_t _node, std::uint64_t _attempt)
+std::optional<BenchJob> BenchEndpoint::removeJob(std::size_t _node, std::uint64_t _attempt)
 {
 	for (std::list<BenchJob>* list : {&this->running, &this->queued})
 	{
@@ -182,44 +186,45 @@
 		{
 			const BenchJob job = *found;
 			list->erase(found);
-			this->fill();
+			this->startQueued();
 			return job;
 		}
 	}
 	return std::nullopt;
 }
 
-std::optional<Micros> BenchEndpoint::next() const
+std::optional<Micros> BenchEndpoint::nextChangeAt() const
 {
-	const double change = this->untilChange();
-	if (!std::isfinite(change))
+	const double untilChange = this->microsToNextChange();
+	if (!std::isfinite(untilChange))
 	{
 		return std::nullopt;
 	}
-	return this->now + std::max<Micros>(1, static_cast<Micros>(std::ceil(change)));
+	return this->now + std::max<Micros>(1, static_cast<Micros>(std::ceil(untilChange)));
 }
 
-LoadReport BenchEndpoint::report() const
+LoadReport BenchEndpoint::loadReport() const
 {
 	return LoadReport{static_cast<std::int64_t>(this->running.size()), static_cast<std::int64_t>(this->queued.size()),
 					  false};
 }
 
-std::optional<double> BenchEndpoint::bestSeconds(const BenchJob& _job, Micros _budget) const
+std::optional<double> BenchEndpoint::minEngineSeconds(const BenchJob& _job, Micros _timeBudget) const
 {
-	const double cached = _job.prefix == 0 ? 0 : this->engine->cachedShare;
-	const double prefill = _job.promptTokens * (1 - cached) / this->engine->prefillPerSecond;
-	const double step = (static_cast<double>(_budget) - prefill * kMicrosPerSecond) / std::max(1.0, _job.maxTokens);
-	const double fits = std::floor((step - this->engine->stepBase) / this->engine->stepPerSequence);
-	const double batch = std::min(fits, static_cast<double>(this->engine->batch));
+	const double cachedShare = _job.prefix == 0 ? 0 : this->engine->cachedPromptShare;
+	const double prefillSeconds = _job.promptTokens * (1 - cachedShare) / this->engine->prefillTokensPerSecond;
+	const double stepBudgetUs =
+		(static_cast<double>(_timeBudget) - prefillSeconds * kMicrosPerSecond) / std::max(1.0, _job.maxTokens);
+	const double maxSequences = std::floor((stepBudgetUs - this->engine->stepBaseUs) / this->engine->stepPerSequenceUs);
+	const double batch = std::min(maxSequences, static_cast<double>(this->engine->maxBatchSize));
 	if (batch < 1)
 	{
 		return std::nullopt;
 	}
-	const double perToken = (this->engine->stepBase + this->engine->stepPerSequence * batch) / batch;
+	const double microsPerToken = (this->engine->stepBaseUs + this->engine->stepPerSequenceUs * batch) / batch;
 	// While a prompt is processed decoding goes on more slowly: the part of it that is lost is the prompt's cost.
-	const double lost = 1 - 1 / this->engine->prefillSlowdown;
-	return prefill * lost + _job.maxTokens * perToken / kMicrosPerSecond;
+	const double lostShare = 1 - 1 / this->engine->prefillSlowdown;
+	return prefillSeconds * lostShare + _job.maxTokens * microsPerToken / kMicrosPerSecond;
 }
 
 } // namespace roadferry
--- a/tools/bench_report.cpp
+++ b/tools/bench_report.cpp
@@ -13,34 +13,34 @@
 namespace roadferry
 {
 
-void BenchReport::line(const std::string& _name, double _figure, const char* _unit, const std::string& _bound,
-					   const char* _verdict)
+void BenchReport::printLine(const std::string& _name, double _value, const char* _unit, const std::string& _bound,
+							const char* _verdict)
 {
-	std::printf("%s\t%.3f\t%s\t%s\t%s\n", _name.c_str(), _figure, _unit, _bound.c_str(), _verdict);
+	std::printf("%s\t%.3f\t%s\t%s\t%s\n", _name.c_str(), _value, _unit, _bound.c_str(), _verdict);
 }
 
-void BenchReport::atLeast(const std::string& _name, double _figure, const char* _unit, double _bound)
+void BenchReport::checkAtLeast(const std::string& _name, double _value, const char* _unit, double _bound)
 {
-	const bool fine = _figure >= _bound;
-	this->allGood = this->allGood && fine;
-	this->line(_name, _figure, _unit, ">=" + std::to_string(_bound), fine ? "ok" : "BROKEN");
+	const bool isWithin = _value >= _bound;
+	this->withinBounds = this->withinBounds && isWithin;
+	this->printLine(_name, _value, _unit, ">=" + std::to_string(_bound), isWithin ? "ok" : "BROKEN");
 }
 
-void BenchReport::atMost(const std::string& _name, double _figure, const char* _unit, double _bound)
+void BenchReport::checkAtMost(const std::string& _name, double _value, const char* _unit, double _bound)
 {
-	const bool fine = _figure <= _bound;
-	this->allGood = this->allGood && fine;
-	this->line(_name, _figure, _unit, "<=" + std::to_string(_bound), fine ? "ok" : "BROKEN");
+	const bool isWithin = _value <= _bound;
+	this->withinBounds = this->withinBounds && isWithin;
+	this->printLine(_name, _value, _unit, "<=" + std::to_string(_bound), isWithin ? "ok" : "BROKEN");
 }
 
-void BenchReport::noBound(const std::string& _name, double _figure, const char* _unit)
+void BenchReport::printInfo(const std::string& _name, double _value, const char* _unit)
 {
-	this->line(_name, _figure, _unit, "-", "info");
+	this->printLine(_name, _value, _unit, "-", "info");
 }
 
-bool BenchReport::good() const
+bool BenchReport::isWithinBounds() const
 {
-	return this->allGood;
+	return this->withinBounds;
 }
 
 } // namespace roadferry
--- a/tools/bench_report.h
+++ b/tools/bench_report.h
@@ -19,19 +19,19 @@
 class BenchReport
 {
 public:
-	void atLeast(const std::string& _name, double _figure, const char* _unit, double _bound);
-	void atMost(const std::string& _name, double _figure, const char* _unit, double _bound);
+	void checkAtLeast(const std::string& _name, double _value, const char* _unit, double _bound);
+	void checkAtMost(const std::string& _name, double _value, const char* _unit, double _bound);
 
 	/// A figure that depends on the machine, and so has no bound.
-	void noBound(const std::string& _name, double _figure, const char* _unit);
+	void printInfo(const std::string& _name, double _value, const char* _unit);
 
-	[[nodiscard]] bool good() const;
+	[[nodiscard]] bool isWithinBounds() const;
 
 private:
-	void line(const std::string& _name, double _figure, const char* _unit, const std::string& _bound,
-			  const char* _verdict);
+	void printLine(const std::string& _name, double _value, const char* _unit, const std::string& _bound,
+				   const char* _verdict);
 
-	bool allGood = true;
+	bool withinBounds = true;
 };
 
 /// Allocations since the program began; see bench_allocations.cpp.
@@ -41,7 +41,7 @@
 	std::int64_t liveBytes = 0;
 };
 
-Allocations allocationsNow();
+Allocations currentAllocations();
 
 /// Figures of the decisions under load.
 void reportDecisions(BenchReport& _report);
--- a/tools/bench_run.cpp
+++ b/tools/bench_run.cpp
@@ -18,68 +18,68 @@
 namespace
 {
 
-constexpr Micros kNetwork = 500; ///< One way between two VMs.
-constexpr Micros kTick = 10 * kMillisecond;
+constexpr Micros kNetworkDelay = 500; ///< One way between two VMs.
+constexpr Micros kTickPeriod = 10 * kMillisecond;
 constexpr Micros kReportPeriod = 1 * kSecond;
-constexpr Micros kReportLag = 1 * kSecond;
-constexpr double kReportsLost = 0.1;
+constexpr Micros kReportDelay = 1 * kSecond;
+constexpr double kReportLossProbability = 0.1;
 constexpr std::uint32_t kSeed = 20'261'202;
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kWorkSpread = 0.3; ///< Deviation of the logarithm of a plain call's work.
+constexpr double kLogNormalSigma = 0.3; ///< Deviation of the logarithm of a plain call's work.
 
 /// A request as the measurement sees it.
-struct Offered
+struct BenchRequest
 {
 	RequestSpec spec;
-	std::string kind;
+	std::string workload;
 	std::size_t node = 0;
-	Micros arrived = 0;
+	Micros arrivedAt = 0;
 	Micros deadline = 0;
-	double held = 0; ///< Seconds of endpoints so far.
-	double engineWork = 0;
+	double heldSeconds = 0; ///< Seconds of endpoints so far.
+	double minEngineSeconds = 0;
 };
 
 /// What happens at a point of time; ties are broken by the order of planning.
 struct Event
 {
 	Micros at = 0;
-	std::uint64_t order = 0;
+	std::uint64_t sequence = 0;
 	std::function<void()> action;
 
 	bool operator<(const Event& _other) const
 	{
-		return this->at != _other.at ? this->at > _other.at : this->order > _other.order;
+		return this->at != _other.at ? this->at > _other.at : this->sequence > _other.sequence;
 	}
 };
 
-class Bench
+class Simulation
 {
 public:
-	Bench(const BenchCase& _case, const DispatcherConfig& _config) : given(_case), random(kSeed)
+	Simulation(const BenchCase& _case, const DispatcherConfig& _config) : benchCase(_case), rng(kSeed)
 	{
 		this->makeTable();
 		this->makeEndpoints();
-		for (std::size_t node = 0; node < _case.nodes; ++node)
+		for (std::size_t node = 0; node < _case.nodeCount; ++node)
 		{
 			DispatcherConfig config = _config;
 			config.seed = node + 1;
 			this->nodes.push_back(std::make_unique<Dispatcher>(config));
-			this->nodes.back()->setNodeCount(_case.nodes);
+			this->nodes.back()->setNodeCount(_case.nodeCount);
 			this->nodes.back()->setTable(this->table);
 			const std::string name = "node-" + std::to_string(node);
-			this->nodes.back()->setEndpoints(selectSubset(name, this->list, _case.endpointsPerPool));
+			this->nodes.back()->setEndpoints(selectSubset(name, this->endpointList, _case.maxEndpointsPerPool));
 		}
 	}
 
-	BenchFigures run()
+	BenchResults run()
 	{
-		for (const BenchKind& kind : this->given.kinds)
+		for (const BenchWorkload& workload : this->benchCase.workloads)
 		{
-			this->planArrival(kind, 0);
+			this->scheduleArrival(workload, 0);
 		}
-		this->planTicks();
-		this->planReports();
-		this->planFaults();
+		this->scheduleTicks();
+		this->scheduleReports();
+		this->scheduleFaults();
 		while (!this->events.empty())
 		{
 			std::pop_heap(this->events.begin(), this->events.end());
@@ -88,14 +88,14 @@
 			this->now = event.at;
 			event.action();
 		}
-		this->sum();
-		return std::move(this->figures);
+		this->summarize();
+		return std::move(this->results);
 	}
 
 private:
-	void plan(Micros _at, std::function<void()> _action)
+	void schedule(Micros _at, std::function<void()> _action)
 	{
-		this->events.push_back(Event{_at, ++this->order, std::move(_action)});
+		this->events.push_back(Event{_at, ++this->sequence, std::move(_action)});
 		std::push_heap(this->events.begin(), this->events.end());
 	}
 
@@ -104,72 +104,73 @@
 		TableEdit edit;
 		edit.id = "bench";
 		const auto put = [&](const Row& _row) { edit.changes.push_back(RowChange{keyOf(_row), 0, _row}); };
-		for (const auto& workspace : this->given.workspaces)
+		for (const auto& workspace : this->benchCase.workspaces)
 		{
 			put(WorkspaceRow{workspace.first, workspace.second, 0});
-			for (const BenchKind& kind : this->given.kinds)
+			for (const BenchWorkload& workload : this->benchCase.workloads)
 			{
-				put(PipelineRow{kind.name + "." + workspace.first, workspace.first, kind.stages,
-								kind.deadline / kMillisecond, kind.urgent});
+				put(PipelineRow{workload.name + "." + workspace.first, workspace.first, workload.stages,
+								workload.timeout / kMillisecond, workload.isUrgent});
 			}
 		}
-		for (const BenchPool& pool : this->given.pools)
+		for (const BenchPool& pool : this->benchCase.pools)
 		{
-			const auto expected = static_cast<std::int64_t>(std::max(1.0, pool.workMs));
+			const auto expected = static_cast<std::int64_t>(std::max(1.0, pool.serviceTimeMs));
 			put(StageRow{pool.name, pool.kind, pool.name, true, 3, expected});
 		}
-		auto made = std::make_shared<Table>();
-		made->apply(1, edit);
-		this->table = made;
+		auto newTable = std::make_shared<Table>();
+		newTable->apply(1, edit);
+		this->table = newTable;
 	}
 
 	void makeEndpoints()
 	{
-		for (const BenchPool& pool : this->given.pools)
+		for (const BenchPool& pool : this->benchCase.pools)
 		{
-			for (std::int64_t index = 0; index < pool.count; ++index)
+			for (std::int64_t index = 0; index < pool.endpointCount; ++index)
 			{
 				Endpoint endpoint;
 				endpoint.id = pool.name + "-" + std::to_string(index);
 				endpoint.pool = pool.name;
 				endpoint.slots = pool.slots;
-				this->list.push_back(endpoint);
-				const bool engine = pool.kind == StageKind::Engine;
-				BenchEngine behaviour;
-				behaviour.batch = static_cast<std::size_t>(pool.slots);
+				this->endpointList.push_back(endpoint);
+				const bool isEngine = pool.kind == StageKind::Engine;
+				BenchEngineModel engineModel;
+				engineModel.maxBatchSize = static_cast<std::size_t>(pool.slots);
 				this->endpoints.emplace(endpoint.id,
-										BenchEndpoint(endpoint, engine ? std::optional(behaviour) : std::nullopt));
-				this->workMs[pool.name] = pool.workMs;
+										BenchEndpoint(endpoint, isEngine ? std::optional(engineModel) : std::nullopt));
+				this->serviceTimeMs[pool.name] = pool.serviceTimeMs;
 			}
 		}
 	}
 
-	[[nodiscard]] double rateOf(const BenchKind& _kind) const
+	[[nodiscard]] double arrivalRate(const BenchWorkload& _workload) const
 	{
-		const bool burst = _kind.bursts && this->now >= this->given.burstFrom && this->now < this->given.burstTo;
-		return _kind.perSecond * (burst ? this->given.burst : 1.0);
+		const bool isBurst =
+			_workload.scalesWithBurst && this->now >= this->benchCase.burstFrom && this->now < this->benchCase.burstTo;
+		return _workload.requestsPerSecond * (isBurst ? this->benchCase.burstFactor : 1.0);
 	}
 
-	void planArrival(const BenchKind& _kind, Micros _from)
+	void scheduleArrival(const BenchWorkload& _workload, Micros _from)
 	{
-		std::exponential_distribution<double> gap(this->rateOf(_kind));
-		const Micros at = _from + static_cast<Micros>(gap(this->random) * kMicrosPerSecond);
-		if (at >= this->given.end)
+		std::exponential_distribution<double> interval(this->arrivalRate(_workload));
+		const Micros at = _from + static_cast<Micros>(interval(this->rng) * kMicrosPerSecond);
+		if (at >= this->benchCase.arrivalsEnd)
 		{
 			return;
 		}
-		this->plan(at,
-				   [this, &_kind, at]
-				   {
-					   this->arrive(_kind);
-					   this->planArrival(_kind, at);
-				   });
+		this->schedule(at,
+					   [this, &_workload, at]
+					   {
+						   this->arrive(_workload);
+						   this->scheduleArrival(_workload, at);
+					   });
 	}
 
-	std::string drawWorkspace()
+	std::string chooseWorkspace()
 	{
-		double draw = std::uniform_real_distribution<double>(0, 1)(this->random);
-		for (const auto& workspace : this->given.workspaces)
+		double draw = std::uniform_real_distribution<double>(0, 1)(this->rng);
+		for (const auto& workspace : this->benchCase.workspaces)
 		{
 			draw -= workspace.second;
 			if (draw <= 0)
@@ -177,77 +178,78 @@
 				return workspace.first;
 			}
 		}
-		return this->given.workspaces.back().first;
+		return this->benchCase.workspaces.back().first;
 	}
 
-	void arrive(const BenchKind& _kind)
+	void arrive(const BenchWorkload& _workload)
 	{
-		Offered offered;
-		offered.kind = _kind.name;
-		offered.node = this->random() % this->nodes.size();
-		offered.arrived = this->now;
-		offered.deadline = this->now + _kind.deadline;
-		offered.spec.id = ++this->lastRequest;
-		offered.spec.workspace = this->drawWorkspace();
-		offered.spec.pipeline = _kind.name + "." + offered.spec.workspace;
+		BenchRequest request;
+		request.workload = _workload.name;
+		request.node = this->rng() % this->nodes.size();
+		request.arrivedAt = this->now;
+		request.deadline = this->now + _workload.timeout;
+		request.spec.id = ++this->lastRequest;
+		request.spec.workspace = this->chooseWorkspace();
+		request.spec.pipeline = _workload.name + "." + request.spec.workspace;
 		// A call that would end on the way back to its caller is late.
-		offered.spec.deadline = offered.deadline - 2 * kNetwork;
-		const double spread = std::lognormal_distribution<double>(0, kWorkSpread)(this->random);
-		offered.spec.promptTokens = static_cast<std::int64_t>(static_cast<double>(_kind.promptTokens) * spread);
-		offered.spec.maxTokens = static_cast<std::int64_t>(static_cast<double>(_kind.maxTokens) * spread);
-		if (_kind.prefixes > 0)
+		request.spec.deadline = request.deadline - 2 * kNetworkDelay;
+		const double sizeFactor = std::lognormal_distribution<double>(0, kLogNormalSigma)(this->rng);
+		request.spec.promptTokens = static_cast<std::int64_t>(static_cast<double>(_workload.promptTokens) * sizeFactor);
+		request.spec.maxTokens = static_cast<std::int64_t>(static_cast<double>(_workload.maxTokens) * sizeFactor);
+		if (_workload.prefixCount > 0)
 		{
-			offered.spec.prefix = 1 + this->random() % static_cast<std::uint64_t>(_kind.prefixes);
+			request.spec.prefix = 1 + this->rng() % static_cast<std::uint64_t>(_workload.prefixCount);
 		}
-		offered.engineWork = this->engineWorkOf(offered.spec, _kind);
-		this->figures.offered += 1;
-		this->figures.byKind[_kind.name].first += 1;
-		this->figures.byWorkspace[offered.spec.workspace].first += 1;
-		this->figures.bySecond[this->now / kSecond].first += 1;
-		this->offeredWork[this->now / kSecond] += offered.engineWork;
-		const std::uint64_t id = offered.spec.id;
-		const std::size_t node = offered.node;
-		this->requests.emplace(id, std::move(offered));
-		this->take(node, this->nodes[node]->submit(this->requests.at(id).spec, this->now));
+		request.minEngineSeconds = this->minEngineSecondsOf(request.spec, _workload);
+		this->results.offered += 1;
+		this->results.byWorkload[_workload.name].first += 1;
+		this->results.byWorkspace[request.spec.workspace].first += 1;
+		this->results.bySecond[this->now / kSecond].first += 1;
+		this->offeredEngineSeconds[this->now / kSecond] += request.minEngineSeconds;
+		const std::uint64_t id = request.spec.id;
+		const std::size_t node = request.node;
+		this->requests.emplace(id, std::move(request));
+		this->applyActions(node, this->nodes[node]->submit(this->requests.at(id).spec, this->now));
 	}
 
-	[[nodiscard]] double engineWorkOf(const RequestSpec& _spec, const BenchKind& _kind) const
+	[[nodiscard]] double minEngineSecondsOf(const RequestSpec& _spec, const BenchWorkload& _workload) const
 	{
 		BenchJob job;
 		job.promptTokens = static_cast<double>(_spec.promptTokens);
 		job.maxTokens = static_cast<double>(_spec.maxTokens);
 		job.prefix = _spec.prefix;
-		Micros budget = _kind.deadline;
-		for (const std::string& stage : _kind.stages)
+		Micros budget = _workload.timeout;
+		for (const std::string& stage : _workload.stages)
 		{
-			const bool engine = this->table->stage(stage)->kind == StageKind::Engine;
-			budget -= 2 * kNetwork + (engine ? 0 : static_cast<Micros>(this->workMs.at(stage)) * kMillisecond);
+			const bool isEngine = this->table->stage(stage)->kind == StageKind::Engine;
+			budget -=
+				2 * kNetworkDelay + (isEngine ? 0 : static_cast<Micros>(this->serviceTimeMs.at(stage)) * kMillisecond);
 		}
-		for (const std::string& stage : _kind.stages)
+		for (const std::string& stage : _workload.stages)
 		{
 			if (this->table->stage(stage)->kind == StageKind::Engine)
 			{
-				return this->endpoints.at(stage + "-0").bestSeconds(job, budget).value_or(0);
+				return this->endpoints.at(stage + "-0").minEngineSeconds(job, budget).value_or(0);
 			}
 		}
 		return 0;
 	}
 
-	void take(std::size_t _node, const Actions& _actions)
+	void applyActions(std::size_t _node, const Actions& _actions)
 	{
 		for (const Action& action : _actions)
 		{
 			std::visit(
 				Overloaded{
-					[&](const StartAttempt& _typed) { this->start(_node, _typed); },
-					[&](const CancelAttempt& _typed) { this->cancel(_node, _typed); },
-					[&](const FinishRequest& _typed) { this->finish(_typed); },
+					[&](const StartAttempt& _typed) { this->startAttempt(_node, _typed); },
+					[&](const CancelAttempt& _typed) { this->cancelAttempt(_node, _typed); },
+					[&](const FinishRequest& _typed) { this->finishRequest(_typed); },
 				},
 				action);
 		}
 	}
 
-	void start(std::size_t _node, const StartAttempt& _action)
+	void startAttempt(std::size_t _node, const StartAttempt& _action)
 	{
 		const RequestSpec& spec = this->requests.at(_action.request).spec;
 		BenchJob job;
@@ -257,282 +259,286 @@
 		job.promptTokens = static_cast<double>(spec.promptTokens);
 		job.maxTokens = static_cast<double>(spec.maxTokens);
 		job.prefix = spec.prefix;
-		const double spread = std::lognormal_distribution<double>(0, kWorkSpread)(this->random);
-		job.work = this->workMs.at(_action.stage) * static_cast<double>(kMillisecond) * spread;
-		this->where[{_node, _action.attempt}] = _action.endpoint;
-		this->plan(this->now + kNetwork, [this, job, id = _action.endpoint] { this->reach(id, job); });
+		const double sizeFactor = std::lognormal_distribution<double>(0, kLogNormalSigma)(this->rng);
+		job.serviceTimeUs = this->serviceTimeMs.at(_action.stage) * static_cast<double>(kMillisecond) * sizeFactor;
+		this->activeAttempts[{_node, _action.attempt}] = _action.endpoint;
+		this->schedule(this->now + kNetworkDelay, [this, job, id = _action.endpoint] { this->deliverJob(id, job); });
 	}
 
-	void reach(const std::string& _endpoint, const BenchJob& _job)
+	void deliverJob(const std::string& _endpoint, const BenchJob& _job)
 	{
-		if (this->where.count({_job.node, _job.attempt}) == 0)
+		if (this->activeAttempts.count({_job.node, _job.attempt}) == 0)
 		{
 			return;
 		}
 		BenchEndpoint& endpoint = this->endpoints.at(_endpoint);
 		this->advance(endpoint);
-		if (endpoint.failing)
+		if (endpoint.isFailing)
 		{
-			this->answer(_endpoint, _job, AttemptInterrupted{});
+			this->endJob(_endpoint, _job, AttemptInterrupted{});
 			return;
 		}
-		endpoint.add(_job, this->now);
-		this->planNext(_endpoint);
+		endpoint.addJob(_job, this->now);
+		this->scheduleNextChange(_endpoint);
 	}
 
-	void planNext(const std::string& _endpoint)
+	void scheduleNextChange(const std::string& _endpoint)
 	{
 		BenchEndpoint& endpoint = this->endpoints.at(_endpoint);
-		const auto next = endpoint.next();
-		const std::uint64_t turn = ++this->turns[_endpoint];
+		const auto next = endpoint.nextChangeAt();
+		const std::uint64_t generation = ++this->changeGenerations[_endpoint];
 		if (!next)
 		{
 			return;
 		}
-		this->plan(*next,
-				   [this, _endpoint, turn]
-				   {
-					   if (this->turns[_endpoint] == turn)
+		this->schedule(*next,
+					   [this, _endpoint, generation]
 					   {
-						   this->advance(this->endpoints.at(_endpoint));
-						   this->planNext(_endpoint);
-					   }
-				   });
+						   if (this->changeGenerations[_endpoint] == generation)
+						   {
+							   this->advance(this->endpoints.at(_endpoint));
+							   this->scheduleNextChange(_endpoint);
+						   }
+					   });
 	}
 
 	void advance(BenchEndpoint& _endpoint)
 	{
 		for (const BenchJob& job : _endpoint.advance(this->now))
 		{
-			this->answer(_endpoint.endpoint.id, job, AttemptAnswered{});
+			this->endJob(_endpoint.endpoint.id, job, AttemptAnswered{});
 		}
 	}
 
-	void answer(const std::string& _endpoint, const BenchJob& _job, const AttemptEnd& _end)
+	void endJob(const std::string& _endpoint, const BenchJob& _job, const AttemptEnd& _end)
 	{
-		this->charge(_endpoint, _job);
-		if (_job.firstToken > 0)
+		this->recordHeldTime(_endpoint, _job);
+		if (_job.firstTokenAt > 0)
 		{
-			const Offered& offered = this->requests.at(_job.request);
-			this->figures.firstToken.push_back(_job.firstToken - offered.arrived);
+			const BenchRequest& request = this->requests.at(_job.request);
+			this->results.timesToFirstToken.push_back(_job.firstTokenAt - request.arrivedAt);
 			const auto tokens = static_cast<Micros>(std::max(1.0, _job.maxTokens));
-			this->figures.betweenTokens.push_back((this->now - _job.firstToken) / tokens);
+			this->results.timesBetweenTokens.push_back((this->now - _job.firstTokenAt) / tokens);
 		}
-		this->plan(this->now + kNetwork,
-				   [this, _job, _end]
-				   {
-					   if (this->where.erase({_job.node, _job.attempt}) > 0)
+		this->schedule(this->now + kNetworkDelay,
+					   [this, _job, _end]
 					   {
-						   this->take(_job.node, this->nodes[_job.node]->attemptEnded(_job.attempt, _end, this->now));
-					   }
-				   });
+						   if (this->activeAttempts.erase({_job.node, _job.attempt}) > 0)
+						   {
+							   this->applyActions(_job.node,
+												  this->nodes[_job.node]->attemptEnded(_job.attempt, _end, this->now));
+						   }
+					   });
 	}
 
 	/// Counts the time that a call has held its endpoint: a slot's share of it.
-	void charge(const std::string& _endpoint, const BenchJob& _job)
+	void recordHeldTime(const std::string& _endpoint, const BenchJob& _job)
 	{
 		const BenchEndpoint& endpoint = this->endpoints.at(_endpoint);
-		const double seconds = _job.began == 0 ? 0 : static_cast<double>(this->now - _job.began) / kMicrosPerSecond;
+		const double seconds =
+			_job.arrivedAt == 0 ? 0 : static_cast<double>(this->now - _job.arrivedAt) / kMicrosPerSecond;
 		const double share = seconds / static_cast<double>(endpoint.endpoint.slots);
-		this->requests.at(_job.request).held += share;
-		this->figures.secondsByPool[endpoint.endpoint.pool] += share;
+		this->requests.at(_job.request).heldSeconds += share;
+		this->results.endpointSecondsByPool[endpoint.endpoint.pool] += share;
 	}
 
-	void cancel(std::size_t _node, const CancelAttempt& _action)
+	void cancelAttempt(std::size_t _node, const CancelAttempt& _action)
 	{
-		const auto found = this->where.find({_node, _action.attempt});
-		if (found == this->where.end())
+		const auto found = this->activeAttempts.find({_node, _action.attempt});
+		if (found == this->activeAttempts.end())
 		{
 			return;
 		}
 		const std::string id = found->second;
-		this->where.erase(found);
+		this->activeAttempts.erase(found);
 		BenchEndpoint& endpoint = this->endpoints.at(id);
 		this->advance(endpoint);
-		if (const auto job = endpoint.remove(_node, _action.attempt))
+		if (const auto job = endpoint.removeJob(_node, _action.attempt))
 		{
-			this->charge(id, *job);
+			this->recordHeldTime(id, *job);
 		}
-		this->planNext(id);
+		this->scheduleNextChange(id);
 	}
 
-	void finish(const FinishRequest& _action)
+	void finishRequest(const FinishRequest& _action)
 	{
-		const Offered& offered = this->requests.at(_action.request);
-		const bool inTime = this->now + kNetwork <= offered.deadline;
-		this->figures.usedSeconds += offered.held;
-		if (_action.outcome.verdict == Verdict::Answered && inTime)
+		const BenchRequest& request = this->requests.at(_action.request);
+		const bool isInTime = this->now + kNetworkDelay <= request.deadline;
+		this->results.usedEndpointSeconds += request.heldSeconds;
+		if (_action.outcome.verdict == Verdict::Answered && isInTime)
 		{
-			this->figures.answered += 1;
-			this->figures.byKind[offered.kind].second += 1;
-			this->figures.byWorkspace[offered.spec.workspace].second += 1;
-			this->figures.bySecond[offered.arrived / kSecond].second += 1;
-			this->figures.answeredWork += offered.engineWork;
-			this->figures.elapsed.push_back(this->now - offered.arrived);
+			this->results.answered += 1;
+			this->results.byWorkload[request.workload].second += 1;
+			this->results.byWorkspace[request.spec.workspace].second += 1;
+			this->results.bySecond[request.arrivedAt / kSecond].second += 1;
+			this->results.answeredEngineSeconds += request.minEngineSeconds;
+			this->results.latencies.push_back(this->now - request.arrivedAt);
 			return;
 		}
-		this->figures.wastedSeconds += offered.held;
-		this->figures.refused += _action.outcome.verdict == Verdict::NotRun ? 1 : 0;
+		this->results.wastedEndpointSeconds += request.heldSeconds;
+		this->results.refused += _action.outcome.verdict == Verdict::NotRun ? 1 : 0;
 	}
 
-	void planTicks()
+	void scheduleTicks()
 	{
-		this->plan(this->now + kTick,
-				   [this]
-				   {
-					   for (std::size_t node = 0; node < this->nodes.size(); ++node)
-					   {
-						   this->take(node, this->nodes[node]->tick(this->now));
-					   }
-					   if (this->now < this->given.end + 30 * kSecond)
+		this->schedule(this->now + kTickPeriod,
+					   [this]
 					   {
-						   this->planTicks();
-					   }
-				   });
+						   for (std::size_t node = 0; node < this->nodes.size(); ++node)
+						   {
+							   this->applyActions(node, this->nodes[node]->tick(this->now));
+						   }
+						   if (this->now < this->benchCase.arrivalsEnd + 30 * kSecond)
+						   {
+							   this->scheduleTicks();
+						   }
+					   });
 	}
 
-	void planReports()
+	void scheduleReports()
 	{
-		this->plan(this->now + kReportPeriod,
-				   [this]
-				   {
-					   for (auto& entry : this->endpoints)
-					   {
-						   this->advance(entry.second);
-						   this->report(entry.first, entry.second.report());
-					   }
-					   if (this->now < this->given.end + 30 * kSecond)
+		this->schedule(this->now + kReportPeriod,
+					   [this]
 					   {
-						   this->planReports();
-					   }
-				   });
+						   for (auto& entry : this->endpoints)
+						   {
+							   this->advance(entry.second);
+							   this->sendLoadReport(entry.first, entry.second.loadReport());
+						   }
+						   if (this->now < this->benchCase.arrivalsEnd + 30 * kSecond)
+						   {
+							   this->scheduleReports();
+						   }
+					   });
 	}
 
-	void report(const std::string& _endpoint, const LoadReport& _report)
+	void sendLoadReport(const std::string& _endpoint, const LoadReport& _report)
 	{
 		for (const auto& node : this->nodes)
 		{
-			if (std::uniform_real_distribution<double>(0, 1)(this->random) < kReportsLost)
+			if (std::uniform_real_distribution<double>(0, 1)(this->rng) < kReportLossProbability)
 			{
 				continue;
 			}
-			this->plan(this->now + kReportLag,
-					   [receiver = node.get(), _endpoint, _report] { receiver->reportLoad(_endpoint, _report); });
+			this->schedule(this->now + kReportDelay,
+						   [receiver = node.get(), _endpoint, _report] { receiver->reportLoad(_endpoint, _report); });
 		}
 	}
 
-	void planFaults()
+	void scheduleFaults()
 	{
-		for (const BenchFault& fault : this->given.faults)
+		for (const BenchFault& fault : this->benchCase.faults)
 		{
-			this->plan(fault.from, [this, &fault] { this->setFault(fault, fault.speed, fault.failing); });
-			this->plan(fault.to, [this, &fault] { this->setFault(fault, 1, false); });
+			this->schedule(fault.from, [this, &fault] { this->setFault(fault, fault.speedFactor, fault.isFailing); });
+			this->schedule(fault.to, [this, &fault] { this->setFault(fault, 1, false); });
 		}
 	}
 
-	void setFault(const BenchFault& _fault, double _speed, bool _failing)
+	void setFault(const BenchFault& _fault, double _speedFactor, bool _isFailing)
 	{
 		std::size_t index = 0;
-		for (const Endpoint& listed : this->list)
+		for (const Endpoint& listed : this->endpointList)
 		{
-			if (listed.pool != _fault.pool || index++ % _fault.every != 0)
+			if (listed.pool != _fault.pool || index++ % _fault.stride != 0)
 			{
 				continue;
 			}
 			BenchEndpoint& endpoint = this->endpoints.at(listed.id);
 			this->advance(endpoint);
-			endpoint.speed = _speed;
-			endpoint.failing = _failing;
-			this->planNext(listed.id);
+			endpoint.speedFactor = _speedFactor;
+			endpoint.isFailing = _isFailing;
+			this->scheduleNextChange(listed.id);
 		}
 	}
 
 	/// The most engine work that could have been answered: work arrives by seconds and may wait for the longest
 	/// deadline; each second of an engine does one second of work, at its speed then.
-	void sum()
+	void summarize()
 	{
-		Micros patience = 0;
-		for (const BenchKind& kind : this->given.kinds)
+		Micros maxWaitSeconds = 0;
+		for (const BenchWorkload& workload : this->benchCase.workloads)
 		{
-			patience = std::max(patience, kind.maxTokens > 0 ? kind.deadline / kSecond : 0);
+			maxWaitSeconds = std::max(maxWaitSeconds, workload.maxTokens > 0 ? workload.timeout / kSecond : 0);
 		}
-		std::deque<std::pair<Micros, double>> waiting;
-		const Micros last = this->given.end / kSecond + patience;
-		for (Micros second = 0; second <= last; ++second)
+		std::deque<std::pair<Micros, double>> pending;
+		const Micros lastSecond = this->benchCase.arrivalsEnd / kSecond + maxWaitSeconds;
+		for (Micros second = 0; second <= lastSecond; ++second)
 		{
-			waiting.emplace_back(second, this->offeredWork[second]);
-			while (!waiting.empty() && waiting.front().first + patience < second)
+			pending.emplace_back(second, this->offeredEngineSeconds[second]);
+			while (!pending.empty() && pending.front().first + maxWaitSeconds < second)
 			{
-				waiting.pop_front();
+				pending.pop_front();
 			}
-			this->figures.boundWork += this->workOff(waiting, this->engineSeconds(second * kSecond));
+			this->results.engineSecondsBound += this->consumePending(pending, this->engineCapacity(second * kSecond));
 		}
 		for (const auto& node : this->nodes)
 		{
-			this->figures.attempts += node->counters().attempts;
-			this->figures.retries += node->counters().retries;
+			this->results.attempts += node->counters().attempts;
+			this->results.retries += node->counters().retries;
 		}
 	}
 
-	static double workOff(std::deque<std::pair<Micros, double>>& _waiting, double _capacity)
+	static double consumePending(std::deque<std::pair<Micros, double>>& _pending, double _capacity)
 	{
-		double done = 0;
-		for (auto& entry : _waiting)
+		double consumed = 0;
+		for (auto& entry : _pending)
 		{
-			const double part = std::min(entry.second, _capacity - done);
+			const double part = std::min(entry.second, _capacity - consumed);
 			entry.second -= part;
-			done += part;
+			consumed += part;
 		}
-		return done;
+		return consumed;
 	}
 
-	[[nodiscard]] double engineSeconds(Micros _at) const
+	[[nodiscard]] double engineCapacity(Micros _at) const
 	{
 		double seconds = 0;
-		for (const BenchPool& pool : this->given.pools)
+		for (const BenchPool& pool : this->benchCase.pools)
 		{
 			if (pool.kind != StageKind::Engine)
 			{
 				continue;
 			}
-			for (std::int64_t index = 0; index < pool.count; ++index)
+			for (std::int64_t index = 0; index < pool.endpointCount; ++index)
 			{
-				double speed = 1;
-				for (const BenchFault& fault : this->given.faults)
+				double speedFactor = 1;
+				for (const BenchFault& fault : this->benchCase.faults)
 				{
-					const bool hit = fault.pool == pool.name && static_cast<std::size_t>(index) % fault.every == 0;
-					const bool inForce = _at >= fault.from && _at < fault.to;
-					speed = hit && inForce ? (fault.failing ? 0 : fault.speed) : speed;
+					const bool isAffected =
+						fault.pool == pool.name && static_cast<std::size_t>(index) % fault.stride == 0;
+					const bool isActive = _at >= fault.from && _at < fault.to;
+					speedFactor = isAffected && isActive ? (fault.isFailing ? 0 : fault.speedFactor) : speedFactor;
 				}
-				seconds += speed;
+				seconds += speedFactor;
 			}
 		}
 		return seconds;
 	}
 
-	const BenchCase& given;
-	std::mt19937 random;
+	const BenchCase& benchCase;
+	std::mt19937 rng;
 	std::shared_ptr<const Table> table;
-	std::vector<Endpoint> list;
+	std::vector<Endpoint> endpointList;
 	std::map<std::string, BenchEndpoint> endpoints;
-	std::map<std::string, double> workMs;
-	std::map<std::string, std::uint64_t> turns;
+	std::map<std::string, double> serviceTimeMs;
+	std::map<std::string, std::uint64_t> changeGenerations;
 	std::vector<std::unique_ptr<Dispatcher>> nodes;
 	std::vector<Event> events; ///< A heap, the earliest first.
-	std::map<std::uint64_t, Offered> requests;
-	std::map<std::pair<std::size_t, std::uint64_t>, std::string> where; ///< Endpoint of each attempt under way.
-	std::map<Micros, double> offeredWork;                               ///< By second of arrival.
-	std::uint64_t order = 0;
+	std::map<std::uint64_t, BenchRequest> requests;
+	std::map<std::pair<std::size_t, std::uint64_t>, std::string>
+		activeAttempts;                            ///< Endpoint of each attempt under way.
+	std::map<Micros, double> offeredEngineSeconds; ///< By second of arrival.
+	std::uint64_t sequence = 0;
 	std::uint64_t lastRequest = 0;
 	Micros now = 0;
-	BenchFigures figures;
+	BenchResults results;
 };
 
 } // namespace
 
-BenchFigures runBench(const BenchCase& _case, const DispatcherConfig& _config)
+BenchResults runBench(const BenchCase& _case, const DispatcherConfig& _config)
 {
-	return Bench(_case, _config).run();
+	return Simulation(_case, _config).run();
 }
 
 double percent(double _part, double _whole)
@@ -540,17 +546,17 @@
 	return _whole > 0 ? kPercent * _part / _whole : kPercent;
 }
 
-double attainment(const std::pair<std::uint64_t, std::uint64_t>& _counts)
+double attainmentPercent(const std::pair<std::uint64_t, std::uint64_t>& _counts)
 {
 	return percent(static_cast<double>(_counts.second), static_cast<double>(_counts.first));
 }
 
-double milliseconds(Micros _time)
+double toMilliseconds(Micros _time)
 {
 	return static_cast<double>(_time) / static_cast<double>(kMillisecond);
 }
 
-Micros quantileOf(std::vector<Micros> _values, double _share)
+Micros quantile(std::vector<Micros> _values, double _share)
 {
 	if (_values.empty())
 	{
--- a/tools/bench_run.h
+++ b/tools/bench_run.h
@@ -16,17 +16,17 @@
 {
 
 /// A kind of request.
-struct BenchKind
+struct BenchWorkload
 {
 	std::string name;
 	std::vector<std::string> stages;
-	double perSecond = 0; ///< At the planned load, over all workspaces.
-	Micros deadline = 0;
+	double requestsPerSecond = 0; ///< At the planned load, over all workspaces.
+	Micros timeout = 0;
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
-	bool urgent = false;
-	std::int64_t prefixes = 0; ///< Different prompt prefixes in use, 0 for none shared.
-	bool bursts = true;        ///< Whether the burst multiplies it.
+	bool isUrgent = false;
+	std::int64_t prefixCount = 0; ///< Different prompt prefixes in use, 0 for none shared.
+	bool scalesWithBurst = true;  ///< Whether the burst multiplies it.
 };
 
 /// A pool of endpoints.
@@ -34,20 +34,20 @@
 {
 	std::string name;
 	StageKind kind = StageKind::Service;
-	std::int64_t count = 0;
+	std::int64_t endpointCount = 0;
 	std::int64_t slots = 8;
-	double workMs = 10;
+	double serviceTimeMs = 10;
 };
 
 /// What goes wrong, and when.
 struct BenchFault
 {
 	std::string pool;
-	std::size_t every = 1; ///< Each so manieth endpoint of the pool.
+	std::size_t stride = 1; ///< Each so manieth endpoint of the pool.
 	Micros from = 0;
 	Micros to = 0;
-	double speed = 1;
-	bool failing = false;
+	double speedFactor = 1;
+	bool isFailing = false;
 };
 
 /// A deployment with its load.
@@ -55,40 +55,40 @@
 {
 	std::string name;
 	std::vector<BenchPool> pools;
-	std::vector<BenchKind> kinds;
+	std::vector<BenchWorkload> workloads;
 	std::vector<std::pair<std::string, double>> workspaces; ///< Name and share of the load; its weight is the same.
 	std::vector<BenchFault> faults;
-	double burst = 1;
+	double burstFactor = 1;
 	Micros burstFrom = 20 * kSecond;
 	Micros burstTo = 60 * kSecond;
-	Micros end = 90 * kSecond;
-	std::size_t nodes = 7;
-	std::size_t endpointsPerPool = 10'000; ///< Most that one node uses.
+	Micros arrivalsEnd = 90 * kSecond;
+	std::size_t nodeCount = 7;
+	std::size_t maxEndpointsPerPool = 10'000; ///< Most that one node uses.
 };
 
 /// Figures of one run.
-struct BenchFigures
+struct BenchResults
 {
 	std::uint64_t offered = 0;
 	std::uint64_t answered = 0; ///< Whole and within the deadline.
 	std::uint64_t refused = 0;  ///< Not run.
 	std::uint64_t attempts = 0;
 	std::uint64_t retries = 0;
-	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byKind;      ///< Offered and answered.
+	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkload;  ///< Offered and answered.
 	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkspace; ///< Offered and answered.
-	std::map<std::string, double> secondsByPool;                                ///< Time that calls held endpoints.
-	double usedSeconds = 0;
-	double wastedSeconds = 0; ///< Of it, for requests that missed.
-	double answeredWork = 0;  ///< Best seconds of engine time of the requests that were answered.
-	double boundWork = 0;     ///< The most of it that any order could have answered.
-	std::vector<Micros> firstToken;
-	std::vector<Micros> betweenTokens;
-	std::vector<Micros> elapsed;                                        ///< Of answered requests.
+	std::map<std::string, double> endpointSecondsByPool;                        ///< Time that calls held endpoints.
+	double usedEndpointSeconds = 0;
+	double wastedEndpointSeconds = 0; ///< Of it, for requests that missed.
+	double answeredEngineSeconds = 0; ///< Best seconds of engine time of the requests that were answered.
+	double engineSecondsBound = 0;    ///< The most of it that any order could have answered.
+	std::vector<Micros> timesToFirstToken;
+	std::vector<Micros> timesBetweenTokens;
+	std::vector<Micros> latencies;                                      ///< Of answered requests.
 	std::map<Micros, std::pair<std::uint64_t, std::uint64_t>> bySecond; ///< Offered and answered, by arrival.
 };
 
 /// Runs a case under a dispatcher's settings.
-BenchFigures runBench(const BenchCase& _case, const DispatcherConfig& _config);
+BenchResults runBench(const BenchCase& _case, const DispatcherConfig& _config);
 
 constexpr double kPercent = 100.0;
 
@@ -96,12 +96,12 @@
 double percent(double _part, double _whole);
 
 /// @param[in] _counts Offered and answered.
-double attainment(const std::pair<std::uint64_t, std::uint64_t>& _counts);
+double attainmentPercent(const std::pair<std::uint64_t, std::uint64_t>& _counts);
 
-double milliseconds(Micros _time);
+double toMilliseconds(Micros _time);
 
 /// @returns The value below which a share of the values lies.
-Micros quantileOf(std::vector<Micros> _values, double _share);
+Micros quantile(std::vector<Micros> _values, double _share);
 
 } // namespace roadferry
 
--- a/tools/bench_scale.cpp
+++ b/tools/bench_scale.cpp
@@ -18,24 +18,24 @@
 namespace
 {
 
-constexpr std::size_t kSizes[] = {7, 50, 200, 520};
-constexpr Micros kSettle = 90 * kSecond;
-constexpr Micros kMeasure = 20 * kSecond;
-constexpr double kMeasureSeconds = 20;
+constexpr std::size_t kNodeCounts[] = {7, 50, 200, 520};
+constexpr Micros kConvergenceTimeout = 90 * kSecond;
+constexpr Micros kObservationTime = 20 * kSecond;
+constexpr double kObservationSeconds = 20;
 constexpr std::size_t kWorkspaces = 1'300;
-constexpr double kControlBytes = 10'000; ///< A second and node, from the letter.
+constexpr double kMaxControlBytesPerSecond = 10'000; ///< A second and node, from the letter.
 
-std::string named(const char* _what, std::size_t _nodes)
+std::string metricName(const char* _name, std::size_t _nodes)
 {
-	return std::string(_what) + "." + std::to_string(_nodes);
+	return std::string(_name) + "." + std::to_string(_nodes);
 }
 
-std::set<std::size_t> allBut(std::size_t _count, std::size_t _from)
+std::set<std::size_t> firstNodes(std::size_t _nodes, std::size_t _count)
 {
 	std::set<std::size_t> result;
-	for (std::size_t index = 0; index < _count; ++index)
+	for (std::size_t index = 0; index < _nodes; ++index)
 	{
-		if (index < _from)
+		if (index < _count)
 		{
 			result.insert(index);
 		}
@@ -43,12 +43,12 @@
 	return result;
 }
 
-double seconds(const std::optional<Micros>& _time, Micros _limit)
+double toSeconds(const std::optional<Micros>& _time, Micros _limit)
 {
 	return static_cast<double>(_time.value_or(_limit * 10)) / static_cast<double>(kSecond);
 }
 
-double gossipBytes(std::uint64_t _messages, std::uint64_t _news)
+double gossipBytes(std::uint64_t _messages, std::uint64_t _updates)
 {
 	const auto size = [](std::size_t _count)
 	{
@@ -57,21 +57,22 @@
 							  Member{MembershipWorld::address(0), 1'800'000'000'000'000, MemberState::Alive, 9'000});
 		return static_cast<double>(encode(gossip).size());
 	};
-	const double perNews = size(2) - size(1);
-	const double empty = size(1) - perNews;
-	return empty * static_cast<double>(_messages) + perNews * static_cast<double>(_news);
+	const double perUpdate = size(2) - size(1);
+	const double empty = size(1) - perUpdate;
+	return empty * static_cast<double>(_messages) + perUpdate * static_cast<double>(_updates);
 }
 
 void reportMembership(BenchReport& _report, std::size_t _nodes)
 {
 	MembershipWorld world(_nodes);
-	const std::set<std::size_t> all = allBut(_nodes, _nodes);
-	const auto joined = world.runUntil([&] { return world.agree(all); }, kSettle);
-	_report.atMost(named("membership.all_started_at_once", _nodes), seconds(joined, kSettle), "s", 60);
+	const std::set<std::size_t> all = firstNodes(_nodes, _nodes);
+	const auto converged = world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("membership.all_started_at_once", _nodes), toSeconds(converged, kConvergenceTimeout),
+						"s", 60);
 	// With ordinary churn: one table edit each ten seconds at the letter's size, told by every node.
 	const std::uint64_t messages = world.messagesSent;
-	const std::uint64_t news = world.updatesSent;
-	for (Micros second = 0; second < kMeasure / kSecond; ++second)
+	const std::uint64_t updates = world.updatesSent;
+	for (Micros second = 0; second < kObservationTime / kSecond; ++second)
 	{
 		if (second % 10 == 0)
 		{
@@ -82,27 +83,32 @@
 		}
 		world.run(kSecond);
 	}
-	const double bytes = gossipBytes(world.messagesSent - messages, world.updatesSent - news);
-	const double perNode = bytes / static_cast<double>(_nodes) / kMeasureSeconds;
-	_report.atMost(named("membership.bytes_sent_per_node", _nodes), perNode, "B/s", kControlBytes / 4);
+	const double bytes = gossipBytes(world.messagesSent - messages, world.updatesSent - updates);
+	const double perNode = bytes / static_cast<double>(_nodes) / kObservationSeconds;
+	_report.checkAtMost(metricName("membership.bytes_sent_per_node", _nodes), perNode, "B/s",
+						kMaxControlBytesPerSecond / 4);
 	world.kill(_nodes - 1);
-	const auto noticed = world.runUntil([&] { return world.agree(allBut(_nodes, _nodes - 1)); }, kSettle);
-	_report.atMost(named("membership.kill_known_everywhere", _nodes), seconds(noticed, kSettle), "s", 45);
-	const std::size_t domain = _nodes / 11 + 1;
-	for (std::size_t index = _nodes - domain; index < _nodes; ++index)
+	const auto noticed =
+		world.runUntil([&] { return world.agree(firstNodes(_nodes, _nodes - 1)); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("membership.kill_known_everywhere", _nodes), toSeconds(noticed, kConvergenceTimeout),
+						"s", 45);
+	const std::size_t domainSize = _nodes / 11 + 1;
+	for (std::size_t index = _nodes - domainSize; index < _nodes; ++index)
 	{
 		world.kill(index);
 	}
-	const auto lost = world.runUntil([&] { return world.agree(allBut(_nodes, _nodes - domain)); }, kSettle);
-	_report.atMost(named("membership.failure_domain_lost", _nodes), seconds(lost, kSettle), "s", 90);
+	const auto lost =
+		world.runUntil([&] { return world.agree(firstNodes(_nodes, _nodes - domainSize)); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("membership.failure_domain_lost", _nodes), toSeconds(lost, kConvergenceTimeout), "s",
+						90);
 }
 
 /// Every node is replaced within a minute, while the others run.
-void reportReplacement(BenchReport& _report, std::size_t _nodes)
+void reportRollingReplacement(BenchReport& _report, std::size_t _nodes)
 {
 	MembershipWorld world(_nodes);
-	const std::set<std::size_t> all = allBut(_nodes, _nodes);
-	world.runUntil([&] { return world.agree(all); }, kSettle);
+	const std::set<std::size_t> all = firstNodes(_nodes, _nodes);
+	world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
 	constexpr Micros kMinute = 60 * kSecond;
 	const Micros begin = world.now;
 	std::size_t replaced = 0;
@@ -115,17 +121,18 @@
 		}
 		world.step();
 	}
-	const auto joined = world.runUntil([&] { return world.agree(all); }, kSettle);
-	_report.atMost(named("recovery.all_replaced_in_a_minute.view", _nodes), seconds(joined, kSettle), "s", 60);
+	const auto converged = world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("recovery.all_replaced_in_a_minute.view", _nodes),
+						toSeconds(converged, kConvergenceTimeout), "s", 60);
 }
 
 /// Regions cut apart for an hour; here for as long as the two sides need to give each other up, after which nothing
 /// changes any more.
-void reportSplit(BenchReport& _report, std::size_t _nodes)
+void reportPartition(BenchReport& _report, std::size_t _nodes)
 {
 	MembershipWorld world(_nodes);
-	const std::set<std::size_t> all = allBut(_nodes, _nodes);
-	world.runUntil([&] { return world.agree(all); }, kSettle);
+	const std::set<std::size_t> all = firstNodes(_nodes, _nodes);
+	world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
 	const std::size_t third = _nodes / 3;
 	for (std::size_t left = 0; left < third; ++left)
 	{
@@ -135,12 +142,14 @@
 			world.network.cutLinks.insert({right, left});
 		}
 	}
-	const auto apart = world.runUntil([&] { return world.agree(allBut(_nodes, third)); }, kSettle);
-	_report.atMost(named("recovery.region_cut.view", _nodes), seconds(apart, kSettle), "s", 110);
-	world.run(kMeasure);
+	const auto separated = world.runUntil([&] { return world.agree(firstNodes(_nodes, third)); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("recovery.region_cut.view", _nodes), toSeconds(separated, kConvergenceTimeout), "s",
+						110);
+	world.run(kObservationTime);
 	world.network.cutLinks.clear();
-	const auto joined = world.runUntil([&] { return world.agree(all); }, kSettle);
-	_report.atMost(named("recovery.region_rejoined.view", _nodes), seconds(joined, kSettle), "s", 60);
+	const auto converged = world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
+	_report.checkAtMost(metricName("recovery.region_rejoined.view", _nodes), toSeconds(converged, kConvergenceTimeout),
+						"s", 60);
 }
 
 /// One workspace's callers all at one node, and then spread evenly.
@@ -149,10 +158,10 @@
 	const auto limit = static_cast<std::int64_t>(_nodes) * 100;
 	ShareWorld world(_nodes, {{"hall", limit}});
 	world.demand[0]["hall"] = limit;
-	world.run(4 * kMeasure);
-	const auto over = [&](std::int64_t _sum) { return static_cast<double>(_sum) / static_cast<double>(limit); };
-	_report.atLeast(named("shares.skewed_use", _nodes), over(world.used("hall")), "of limit", 0.74);
-	double most = over(world.sum("hall"));
+	world.run(4 * kObservationTime);
+	const auto shareOfLimit = [&](std::int64_t _sum) { return static_cast<double>(_sum) / static_cast<double>(limit); };
+	_report.checkAtLeast(metricName("shares.skewed_use", _nodes), shareOfLimit(world.used("hall")), "of limit", 0.74);
+	double maxShare = shareOfLimit(world.sum("hall"));
 	for (std::size_t index = 0; index < _nodes; ++index)
 	{
 		world.demand[index]["hall"] = 200;
@@ -160,7 +169,7 @@
 	for (int step = 0; step < 300; ++step)
 	{
 		world.step();
-		most = std::max(most, over(world.sum("hall")));
+		maxShare = std::max(maxShare, shareOfLimit(world.sum("hall")));
 	}
 	// A node goes, and a third is cut off.
 	world.start(_nodes - 1);
@@ -175,9 +184,9 @@
 	for (int step = 0; step < 300; ++step)
 	{
 		world.step();
-		most = std::max(most, over(world.sum("hall")));
+		maxShare = std::max(maxShare, shareOfLimit(world.sum("hall")));
 	}
-	_report.atMost(named("shares.most_ever", _nodes), most, "of limit", 1.0);
+	_report.checkAtMost(metricName("shares.most_ever", _nodes), maxShare, "of limit", 1.0);
 }
 
 /// All workspaces in use, a few of them on each node.
@@ -189,10 +198,10 @@
 		limits["workspace-" + std::to_string(index)] = 10'000;
 	}
 	ShareWorld world(_nodes, limits);
-	constexpr std::size_t kActive = 60;
+	constexpr std::size_t kActiveWorkspaces = 60;
 	for (std::size_t node = 0; node < _nodes; ++node)
 	{
-		for (std::size_t index = 0; index < kActive; ++index)
+		for (std::size_t index = 0; index < kActiveWorkspaces; ++index)
 		{
 			world.demand[node]["workspace-" + std::to_string((node * 7 + index * 21) % kWorkspaces)] = 40;
 		}
@@ -209,27 +218,28 @@
 			},
 			_action);
 	};
-	constexpr Micros kWatch = 21 * kSecond;
-	constexpr double kWatchSeconds = 21;
-	world.run(kWatch);
-	const double nodeSeconds = static_cast<double>(_nodes) * kWatchSeconds;
-	_report.atMost(named("shares.bytes_sent_per_node", _nodes), bytes / nodeSeconds, "B/s", kControlBytes / 4);
-	_report.noBound(named("shares.messages_sent_per_node", _nodes),
-					static_cast<double>(world.messagesSent - before) / nodeSeconds, "1/s");
+	constexpr Micros kShareObservationTime = 21 * kSecond;
+	constexpr double kShareObservationSeconds = 21;
+	world.run(kShareObservationTime);
+	const double nodeSeconds = static_cast<double>(_nodes) * kShareObservationSeconds;
+	_report.checkAtMost(metricName("shares.bytes_sent_per_node", _nodes), bytes / nodeSeconds, "B/s",
+						kMaxControlBytesPerSecond / 4);
+	_report.printInfo(metricName("shares.messages_sent_per_node", _nodes),
+					  static_cast<double>(world.messagesSent - before) / nodeSeconds, "1/s");
 }
 
 } // namespace
 
 void reportScale(BenchReport& _report)
 {
-	for (const std::size_t nodes : kSizes)
+	for (const std::size_t nodes : kNodeCounts)
 	{
 		reportMembership(_report, nodes);
 		reportShares(_report, nodes);
 		reportShareBytes(_report, nodes);
 	}
-	reportReplacement(_report, 520);
-	reportSplit(_report, 520);
+	reportRollingReplacement(_report, 520);
+	reportPartition(_report, 520);
 }
 
 } // namespace roadferry
--- a/tools/roadferry_bench.cpp
+++ b/tools/roadferry_bench.cpp
@@ -25,73 +25,74 @@
 
 using namespace roadferry;
 
-struct NamedConfig
+struct Policy
 {
 	const char* name;
 	DispatcherConfig config;
 };
 
 /// Each round adds one change to the one before it.
-std::vector<NamedConfig> rounds()
+std::vector<Policy> makePolicies()
 {
-	std::vector<NamedConfig> list;
-	list.push_back({"round_robin", baselineConfig("round_robin")});
-	list.push_back({"power_of_two", baselineConfig("power_of_two")});
-	list.push_back({"least_in_flight", baselineConfig("least_in_flight")});
-	DispatcherConfig config = baselineConfig("least_finish");
-	list.push_back({"least_finish", config});
+	std::vector<Policy> policies;
+	policies.push_back({"round_robin", makeBaselineConfig("round_robin")});
+	policies.push_back({"power_of_two", makeBaselineConfig("power_of_two")});
+	policies.push_back({"least_in_flight", makeBaselineConfig("least_in_flight")});
+	DispatcherConfig config = makeBaselineConfig("least_finish");
+	policies.push_back({"least_finish", config});
 	config.dropInfeasible = true;
-	list.push_back({"+drop_doomed", config});
+	policies.push_back({"+drop_doomed", config});
 	config.admitByDeadline = true;
-	list.push_back({"+admit_by_deadline", config});
+	policies.push_back({"+admit_by_deadline", config});
 	config.ordering = Ordering::DeadlineFair;
-	list.push_back({"+deadline_fair", config});
+	policies.push_back({"+deadline_fair", config});
 	config.urgentReserve = 0.1;
-	list.push_back({"+urgent_reserve", config});
+	policies.push_back({"+urgent_reserve", config});
 	config.ejectOutliers = true;
-	list.push_back({"+set_aside", config});
+	policies.push_back({"+set_aside", config});
 	config.placement = "affinity";
-	list.push_back({"+affinity", config});
+	policies.push_back({"+affinity", config});
 	config.placement = "affinity_gated";
-	list.push_back({"+affinity_gated", config});
+	policies.push_back({"+affinity_gated", config});
 	for (const double margin : {0.0, 1.5, 2.0})
 	{
-		DispatcherConfig other = config;
-		other.marginDeviations = margin;
-		list.push_back({margin == 0.0 ? "margin 0" : (margin == 1.5 ? "margin 1.5" : "margin 2"), other});
+		DispatcherConfig adjusted = config;
+		adjusted.marginDeviations = margin;
+		policies.push_back({margin == 0.0 ? "margin 0" : (margin == 1.5 ? "margin 1.5" : "margin 2"), adjusted});
 	}
-	list.push_back({"product", DispatcherConfig{}});
-	return list;
+	policies.push_back({"product", DispatcherConfig{}});
+	return policies;
 }
 
-void printRound(const BenchCase& _case, const NamedConfig& _named)
+void printPolicyRow(const BenchCase& _case, const Policy& _policy)
 {
-	const BenchFigures figures = runBench(_case, _named.config);
+	const BenchResults results = runBench(_case, _policy.config);
 	double worst = kPercent;
-	for (const auto& entry : figures.byWorkspace)
+	for (const auto& entry : results.byWorkspace)
 	{
-		worst = std::min(worst, attainment(entry.second));
+		worst = std::min(worst, attainmentPercent(entry.second));
 	}
-	std::printf("%-12s %-20s %6.2f %6.2f %6.2f %6.2f %7.2f %8.0f %8.0f %7.1f\n", _case.name.c_str(), _named.name,
-				percent(static_cast<double>(figures.answered), static_cast<double>(figures.offered)), worst,
-				percent(figures.answeredWork, figures.boundWork), percent(figures.wastedSeconds, figures.usedSeconds),
-				figures.usedSeconds, milliseconds(quantileOf(figures.elapsed, 0.95)),
-				milliseconds(quantileOf(figures.firstToken, 0.95)),
-				milliseconds(quantileOf(figures.betweenTokens, 0.95)));
+	std::printf("%-12s %-20s %6.2f %6.2f %6.2f %6.2f %7.2f %8.0f %8.0f %7.1f\n", _case.name.c_str(), _policy.name,
+				percent(static_cast<double>(results.answered), static_cast<double>(results.offered)), worst,
+				percent(results.answeredEngineSeconds, results.engineSecondsBound),
+				percent(results.wastedEndpointSeconds, results.usedEndpointSeconds), results.usedEndpointSeconds,
+				toMilliseconds(quantile(results.latencies, 0.95)),
+				toMilliseconds(quantile(results.timesToFirstToken, 0.95)),
+				toMilliseconds(quantile(results.timesBetweenTokens, 0.95)));
 }
 
-void printRounds()
+void printPolicyTable()
 {
 	std::printf("%-12s %-20s %6s %6s %6s %6s %7s %8s %8s %7s\n", "case", "policy", "att%", "worst%", "bound%", "waste%",
 				"used_s", "p95_ms", "ttft95", "tbt95");
-	for (BenchCase benchCase : {examCase(3), stormCase(4), examCase(1), stormCase(1)})
+	for (BenchCase benchCase : {makeExamCase(3), makeStormCase(4), makeExamCase(1), makeStormCase(1)})
 	{
-		benchCase.nodes = FLAGS_nodes;
-		for (const NamedConfig& named : rounds())
+		benchCase.nodeCount = FLAGS_nodes;
+		for (const Policy& policy : makePolicies())
 		{
-			if (FLAGS_only.empty() || FLAGS_only == named.name)
+			if (FLAGS_only.empty() || FLAGS_only == policy.name)
 			{
-				printRound(benchCase, named);
+				printPolicyRow(benchCase, policy);
 			}
 		}
 	}
@@ -105,7 +106,7 @@
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	if (FLAGS_rounds)
 	{
-		printRounds();
+		printPolicyTable();
 		return 0;
 	}
 	// A long run shows what it has so far.
@@ -123,5 +124,5 @@
 	{
 		reportCapacity(report);
 	}
-	return report.good() ? 0 : 1;
+	return report.isWithinBounds() ? 0 : 1;
 }
--- a/tools/roadferry_load.cpp
+++ b/tools/roadferry_load.cpp
@@ -44,8 +44,9 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-constexpr std::int64_t kGrace = 2'000'000; ///< After the deadline, in microseconds, until an answer is given up.
-constexpr std::size_t kNameLimit = 100;
+constexpr std::int64_t kResponseGraceUs =
+	2'000'000; ///< After the deadline, in microseconds, until an answer is given up.
+constexpr std::size_t kMaxLength = 100;
 
 /// One kind of request, from the file.
 struct Workload
@@ -53,10 +54,10 @@
 	std::string name;
 	std::string pipeline;
 	std::string credential;
-	double perSecond = 0;
+	double requestsPerSecond = 0;
 	std::int64_t deadlineMs = 0;
 	std::int64_t maxTokens = 0;
-	bool once = false; ///< May not be repeated: a ticket is fetched first.
+	bool atMostOnce = false; ///< May not be repeated: a ticket is fetched first.
 };
 
 /// One request under way or ended.
@@ -65,20 +66,20 @@
 	const Workload* workload = nullptr;
 	std::string marker;
 	std::string body;
-	Clock::time_point sent;
+	Clock::time_point sentAt;
 	double elapsedMs = 0;
 	std::string outcome; ///< answered, not_run, unknown, or lost when no answer came.
-	bool whole = false;
+	bool isIntact = false;
 };
 
 /// Figures of one workload.
-struct Figures
+struct WorkloadStats
 {
 	std::map<std::string, int> outcomes;
-	int inTime = 0;
+	int answeredInTime = 0;
 	int offered = 0;
-	std::vector<double> elapsedMs;        ///< Of answered requests.
-	std::map<std::string, double> heldMs; ///< By stage.
+	std::vector<double> elapsedMs;               ///< Of answered requests.
+	std::map<std::string, double> heldMsByStage; ///< By stage.
 };
 
 absl::StatusOr<std::vector<Workload>> readWorkloads(const std::string& _file)
@@ -93,17 +94,17 @@
 	}
 	JsonReader reader(*object);
 	std::vector<Workload> result;
-	for (const QJsonObject& entry : reader.objects("workloads", kNameLimit))
+	for (const QJsonObject& entry : reader.objects("workloads", kMaxLength))
 	{
 		JsonReader fields(entry, "workloads.");
 		Workload workload;
-		workload.name = fields.text("name", kNameLimit);
-		workload.pipeline = fields.text("pipeline", kNameLimit);
-		workload.credential = fields.text("credential", kNameLimit);
-		workload.perSecond = fields.numberOr("per_second", 1);
+		workload.name = fields.text("name", kMaxLength);
+		workload.pipeline = fields.text("pipeline", kMaxLength);
+		workload.credential = fields.text("credential", kMaxLength);
+		workload.requestsPerSecond = fields.numberOr("per_second", 1);
 		workload.deadlineMs = fields.integerOr("deadline_ms", 1, 600'000, 3'000);
 		workload.maxTokens = fields.integerOr("max_tokens", 0, 100'000, 0);
-		workload.once = fields.booleanOr("once", false);
+		workload.atMostOnce = fields.booleanOr("once", false);
 		if (!fields.status().ok())
 		{
 			return fields.status();
@@ -113,14 +114,14 @@
 	return reader.status().ok() ? absl::StatusOr<std::vector<Workload>>(result) : reader.status();
 }
 
-class Load
+class LoadGenerator
 {
 public:
-	explicit Load(const std::vector<Workload>& _workloads) : workloads(_workloads), pool(1), client(pool)
+	explicit LoadGenerator(const std::vector<Workload>& _workloads) : workloads(_workloads), pool(1), client(pool)
 	{
 	}
 
-	~Load()
+	~LoadGenerator()
 	{
 		this->pool.stop();
 	}
@@ -129,25 +130,25 @@
 	void run()
 	{
 		const auto begin = Clock::now();
-		for (const auto& arrival : this->arrivals())
+		for (const auto& arrival : this->planArrivals())
 		{
 			std::this_thread::sleep_until(begin + std::chrono::microseconds(arrival.first));
 			this->send(*arrival.second);
 		}
 		std::unique_lock<std::mutex> guard(this->lock);
-		this->changed.wait(guard, [this] { return this->ended == this->requests.size(); });
+		this->changed.wait(guard, [this] { return this->endedCount == this->requests.size(); });
 	}
 
 	/// @returns Breaches of what must always hold, in words.
-	std::vector<std::string> judge()
+	std::vector<std::string> findBreaches()
 	{
 		std::vector<std::string> breaches;
-		const auto effects = this->readLedgers();
+		const auto effects = this->countEffects();
 		for (const auto& request : this->requests)
 		{
 			const auto found = effects.find(request->marker);
 			const int count = found == effects.end() ? 0 : found->second;
-			if (request->outcome == "answered" && !request->whole)
+			if (request->outcome == "answered" && !request->isIntact)
 			{
 				breaches.push_back(request->marker + ": answer not whole or not its own");
 			}
@@ -155,7 +156,7 @@
 			{
 				breaches.push_back(request->marker + ": told not run, and ran");
 			}
-			if (request->workload->once && count > 1)
+			if (request->workload->atMostOnce && count > 1)
 			{
 				breaches.push_back(absl::StrCat(request->marker, ": ran ", count, " times"));
 			}
@@ -163,36 +164,37 @@
 		return breaches;
 	}
 
-	std::map<std::string, Figures> figures()
+	std::map<std::string, WorkloadStats> stats()
 	{
-		std::map<std::string, Figures> result;
+		std::map<std::string, WorkloadStats> result;
 		for (const auto& request : this->requests)
 		{
-			Figures& figures = result[request->workload->name];
-			figures.offered += 1;
-			figures.outcomes[request->outcome] += 1;
+			WorkloadStats& stats = result[request->workload->name];
+			stats.offered += 1;
+			stats.outcomes[request->outcome] += 1;
 			if (request->outcome == "answered")
 			{
-				figures.elapsedMs.push_back(request->elapsedMs);
-				figures.inTime += request->elapsedMs <= static_cast<double>(request->workload->deadlineMs) ? 1 : 0;
+				stats.elapsedMs.push_back(request->elapsedMs);
+				stats.answeredInTime +=
+					request->elapsedMs <= static_cast<double>(request->workload->deadlineMs) ? 1 : 0;
 			}
 		}
-		for (const auto& entry : this->held)
+		for (const auto& entry : this->heldMs)
 		{
-			result[entry.first.first].heldMs[entry.first.second] += entry.second;
+			result[entry.first.first].heldMsByStage[entry.first.second] += entry.second;
 		}
 		return result;
 	}
 
 private:
-	std::vector<std::pair<std::int64_t, const Workload*>> arrivals()
+	std::vector<std::pair<std::int64_t, const Workload*>> planArrivals()
 	{
 		std::vector<std::pair<std::int64_t, const Workload*>> result;
 		std::mt19937_64 random(FLAGS_seed);
 		for (const Workload& workload : this->workloads)
 		{
-			std::exponential_distribution<double> gap(std::max(0.001, workload.perSecond * FLAGS_rate));
-			for (double at = gap(random); at < FLAGS_seconds; at += gap(random))
+			std::exponential_distribution<double> interval(std::max(0.001, workload.requestsPerSecond * FLAGS_rate));
+			for (double at = interval(random); at < FLAGS_seconds; at += interval(random))
 			{
 				result.emplace_back(static_cast<std::int64_t>(at * kMicrosPerSecond), &workload);
 			}
@@ -206,15 +208,15 @@
 		auto request = std::make_shared<Request>();
 		request->workload = &_workload;
 		request->marker = absl::StrCat(_workload.name, "-", FLAGS_seed, "-", this->requests.size());
-		request->sent = Clock::now();
+		request->sentAt = Clock::now();
 		this->requests.push_back(request);
 		this->pool.post(0, [this, request]
-						{ request->workload->once ? this->fetchTicket(request) : this->submit(request, {}); });
+						{ request->workload->atMostOnce ? this->fetchTicket(request) : this->submit(request, {}); });
 	}
 
 	void fetchTicket(const std::shared_ptr<Request>& _request)
 	{
-		this->call(*_request->workload, "/v1/tickets", "{}",
+		this->post(*_request->workload, "/v1/tickets", "{}",
 				   [this, _request](const CallEnd& _end)
 				   {
 					   const auto object = parseObject(_end.body);
@@ -239,18 +241,19 @@
 			body["ticket"] = QString::fromStdString(_ticket);
 			body["repeatable"] = false;
 		}
-		this->call(workload, absl::StrCat("/v1/pipelines/", workload.pipeline, "/requests"), toText(body),
+		this->post(workload, absl::StrCat("/v1/pipelines/", workload.pipeline, "/requests"), toText(body),
 				   [this, _request](const CallEnd& _end)
 				   {
 					   const auto object = parseObject(_end.body);
-					   const bool told = _end.result == CallResult::Complete && object.ok();
-					   const std::string outcome = told ? object->value("outcome").toString().toStdString() : "lost";
-					   this->finish(_request, outcome, told ? *object : QJsonObject());
+					   const bool isAnswered = _end.result == CallResult::Complete && object.ok();
+					   const std::string outcome =
+						   isAnswered ? object->value("outcome").toString().toStdString() : "lost";
+					   this->finish(_request, outcome, isAnswered ? *object : QJsonObject());
 				   });
 	}
 
-	void call(const Workload& _workload, const std::string& _target, const std::string& _body,
-			  std::function<void(const CallEnd&)> _done)
+	void post(const Workload& _workload, const std::string& _target, const std::string& _body,
+			  std::function<void(const CallEnd&)> _onEnd)
 	{
 		CallSpec spec;
 		spec.address = FLAGS_target;
@@ -258,10 +261,10 @@
 		spec.request.target = _target;
 		spec.request.body = _body;
 		spec.request.headers = {{"Authorization", "Bearer " + _workload.credential}};
-		spec.timeout = _workload.deadlineMs * 1'000 + kGrace;
+		spec.timeout = _workload.deadlineMs * 1'000 + kResponseGraceUs;
 		spec.forceNewConnection = true;
 		CallHandlers handlers;
-		handlers.onEnd = std::move(_done);
+		handlers.onEnd = std::move(_onEnd);
 		this->client.call(0, std::move(spec), std::move(handlers));
 	}
 
@@ -269,20 +272,20 @@
 	{
 		const std::lock_guard<std::mutex> guard(this->lock);
 		_request->outcome = _outcome.empty() ? "error" : _outcome;
-		_request->elapsedMs = std::chrono::duration<double, std::milli>(Clock::now() - _request->sent).count();
-		_request->whole = isWhole(*_request, _json["answer"].toObject());
+		_request->elapsedMs = std::chrono::duration<double, std::milli>(Clock::now() - _request->sentAt).count();
+		_request->isIntact = isIntactAnswer(*_request, _json["answer"].toObject());
 		const QJsonArray stages = _json["stages"].toArray();
 		for (const QJsonValue stage : stages)
 		{
-			this->held[{_request->workload->name, stage["stage"].toString().toStdString()}] +=
+			this->heldMs[{_request->workload->name, stage["stage"].toString().toStdString()}] +=
 				stage["held_ms"].toDouble();
 		}
-		this->ended += 1;
+		this->endedCount += 1;
 		this->changed.notify_all();
 	}
 
 	/// The stand-ins answer with the marker of the input: all tokens of an engine carry it, and their position.
-	static bool isWhole(const Request& _request, const QJsonObject& _answer)
+	static bool isIntactAnswer(const Request& _request, const QJsonObject& _answer)
 	{
 		if (_request.workload->maxTokens == 0)
 		{
@@ -297,12 +300,12 @@
 	}
 
 	/// @returns Most effects of each marker on any one stage: a request passes each of its stages once.
-	std::map<std::string, int> readLedgers()
+	std::map<std::string, int> countEffects()
 	{
 		std::map<std::pair<std::string, std::string>, int> byStage;
 		for (const auto part : absl::StrSplit(FLAGS_ledgers, ',', absl::SkipEmpty()))
 		{
-			const QJsonObject ledger = this->fetch(std::string(part), "/ledger");
+			const QJsonObject ledger = this->fetchJson(std::string(part), "/ledger");
 			const QJsonArray list = ledger["effects"].toArray();
 			for (const QJsonValue effect : list)
 			{
@@ -317,7 +320,7 @@
 		return effects;
 	}
 
-	QJsonObject fetch(const std::string& _address, const std::string& _target)
+	QJsonObject fetchJson(const std::string& _address, const std::string& _target)
 	{
 		QJsonObject result;
 		bool done = false;
@@ -350,8 +353,8 @@
 	std::vector<std::shared_ptr<Request>> requests;
 	std::mutex lock;
 	std::condition_variable changed;
-	std::size_t ended = 0;
-	std::map<std::pair<std::string, std::string>, double> held; ///< Milliseconds by workload and stage.
+	std::size_t endedCount = 0;
+	std::map<std::pair<std::string, std::string>, double> heldMs; ///< Milliseconds by workload and stage.
 };
 
 double quantile(std::vector<double> _values, double _share)
@@ -364,42 +367,42 @@
 	return _values[static_cast<std::size_t>(_share * static_cast<double>(_values.size() - 1))];
 }
 
-QJsonObject toJson(const Figures& _figures)
+QJsonObject toJson(const WorkloadStats& _stats)
 {
-	QJsonObject held;
-	for (const auto& entry : _figures.heldMs)
+	QJsonObject heldMs;
+	for (const auto& entry : _stats.heldMsByStage)
 	{
-		held[QString::fromStdString(entry.first)] = entry.second;
+		heldMs[QString::fromStdString(entry.first)] = entry.second;
 	}
 	QJsonObject outcomes;
-	for (const auto& entry : _figures.outcomes)
+	for (const auto& entry : _stats.outcomes)
 	{
 		outcomes[QString::fromStdString(entry.first)] = entry.second;
 	}
-	return QJsonObject{{"offered", _figures.offered},
-					   {"attainment", 100.0 * _figures.inTime / std::max(1, _figures.offered)},
-					   {"p50_ms", quantile(_figures.elapsedMs, 0.5)},
-					   {"p95_ms", quantile(_figures.elapsedMs, 0.95)},
-					   {"p99_ms", quantile(_figures.elapsedMs, 0.99)},
+	return QJsonObject{{"offered", _stats.offered},
+					   {"attainment", 100.0 * _stats.answeredInTime / std::max(1, _stats.offered)},
+					   {"p50_ms", quantile(_stats.elapsedMs, 0.5)},
+					   {"p95_ms", quantile(_stats.elapsedMs, 0.95)},
+					   {"p99_ms", quantile(_stats.elapsedMs, 0.99)},
 					   {"outcomes", outcomes},
-					   {"held_ms_by_stage", held}};
+					   {"held_ms_by_stage", heldMs}};
 }
 
-QJsonObject allJson(const std::map<std::string, Figures>& _figures)
+QJsonObject statsToJson(const std::map<std::string, WorkloadStats>& _stats)
 {
 	QJsonObject object;
-	for (const auto& entry : _figures)
+	for (const auto& entry : _stats)
 	{
 		object[QString::fromStdString(entry.first)] = toJson(entry.second);
 	}
 	return object;
 }
 
-void printTable(const QJsonObject& _figures)
+void printTable(const QJsonObject& _stats)
 {
 	std::printf("%-14s %8s %10s %9s %9s %9s  %s\n", "workload", "offered", "attained%", "p50_ms", "p95_ms", "p99_ms",
 				"cost by stage (ms held per request)");
-	for (auto entry = _figures.begin(); entry != _figures.end(); ++entry)
+	for (auto entry = _stats.begin(); entry != _stats.end(); ++entry)
 	{
 		const QJsonObject one = entry.value().toObject();
 		std::string cost;
@@ -452,20 +455,20 @@
 		std::cerr << "roadferry-load: " << FLAGS_workloads << ": " << workloads.status().message() << std::endl;
 		return 2;
 	}
-	Load load(*workloads);
-	load.run();
-	const QJsonObject figures = allJson(load.figures());
-	printTable(figures);
-	for (auto entry = figures.begin(); entry != figures.end(); ++entry)
+	LoadGenerator generator(*workloads);
+	generator.run();
+	const QJsonObject stats = statsToJson(generator.stats());
+	printTable(stats);
+	for (auto entry = stats.begin(); entry != stats.end(); ++entry)
 	{
 		std::cout << entry.key().toStdString() << ": " << toText(entry.value().toObject()["outcomes"].toObject())
 				  << "\n";
 	}
 	if (!FLAGS_json.empty())
 	{
-		std::ofstream(FLAGS_json) << toText(figures) << "\n";
+		std::ofstream(FLAGS_json) << toText(stats) << "\n";
 	}
-	const auto breaches = load.judge();
+	const auto breaches = generator.findBreaches();
 	for (const std::string& breach : breaches)
 	{
 		std::cout << "BREACH " << breach << "\n";
