--- a/tools/bench_allocations.cpp
+++ b/tools/bench_allocations.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Counts the allocations of the program that it is linked into.
+/// Replaces the global allocation functions to count the allocations of the program that links this file.
 
 #include "bench_report.h"
 
--- a/tools/bench_capacity.cpp
+++ b/tools/bench_capacity.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Slopes of memory, time and messages that docs/CAPACITY.md is worked out from. Times depend on the machine and have
-/// no bound; counts and bytes have.
+/// Memory, time and message size per ticket, row, endpoint, request and member, from which docs/CAPACITY.md is derived.
+/// Times depend on the machine and have no bounds; counts and sizes have bounds.
 
 #include "bench_report.h"
 #include "peer_messages.h"
@@ -29,13 +29,15 @@
 	return static_cast<double>(currentAllocations().liveBytes - _before.liveBytes);
 }
 
-/// Nanoseconds and allocations of one of many equal steps.
+/// Mean time and number of allocations per step.
 struct Cost
 {
 	double nanoseconds = 0;
 	double allocations = 0;
 };
 
+/// Runs a step the given number of times.
+/// @returns Mean cost per run.
 template<class Step>
 Cost measureCost(std::size_t _count, Step _step)
 {
@@ -129,7 +131,7 @@
 	return list;
 }
 
-/// Runs whole requests of two stages, with the endpoints under some load.
+/// Measures the cost per endpoint, per complete request of two stages and per request in flight.
 void reportDispatcher(BenchReport& _report, std::size_t _endpoints)
 {
 	auto table = std::make_shared<Table>();
--- a/tools/bench_cases.cpp
+++ b/tools/bench_cases.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Deployments and loads of both users. Numbers of endpoints are those of the brief; rates are set so that the planned
-/// load uses about half of the engines.
+/// Deployments and loads of both users. Endpoint counts are the users' own; request rates are set so that the planned
+/// load uses about half of the engine capacity.
 
 #include "bench_cases.h"
 
--- a/tools/bench_cases.h
+++ b/tools/bench_cases.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// The deployments of both users, as cases of the measurement.
+/// Benchmark cases that model the deployments of both users.
 
 #ifndef ROADFERRY_BENCH_CASES_H_HEADER_GUARD
 #define ROADFERRY_BENCH_CASES_H_HEADER_GUARD
@@ -14,20 +14,23 @@
 namespace roadferry
 {
 
-/// Pariksha Setu at the start of an exam.
-/// @param[in] _burstFactor Multiple of the planned load; 1 for a quiet day.
+/// The Pariksha Setu deployment at the start of an exam.
+/// @param[in] _burstFactor Load during the burst as a multiple of the planned load; 1 for no burst.
 BenchCase makeExamCase(double _burstFactor);
 
-/// Maule in a storm, with the endpoints of one failure domain slowed down; 1 for a quiet day.
+/// The Maule deployment during a storm, with the engines and retrievers of one failure domain slowed down.
+/// @param[in] _burstFactor Load during the burst as a multiple of the planned load; 1 for neither burst nor slowdown.
 BenchCase makeStormCase(double _burstFactor);
 
-/// The exam at four times its size, with twelve nodes that each use only a part of each pool.
+/// The exam case at four times its size, with 12 nodes that each use a subset of each pool.
+/// @param[in] _maxEndpointsPerPool Maximum endpoints of a pool that one node uses.
 BenchCase makeSubsetCase(std::size_t _maxEndpointsPerPool);
 
-/// A pool of rerankers that is out for 20 s and comes back, at the planned load.
+/// The exam case at the planned load, with every reranker failing for 20 s.
 BenchCase makeOutageCase();
 
-/// The settings of the baselines.
+/// Dispatcher settings of a baseline: FIFO order, no admission control, no ejection and no reserve for urgent requests.
+/// @param[in] _placement Name of the placement policy.
 DispatcherConfig makeBaselineConfig(const std::string& _placement);
 
 } // namespace roadferry
--- a/tools/bench_decisions.cpp
+++ b/tools/bench_decisions.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Figures of the decisions under the bursts of both users, with bounds.
+/// Benchmarks of the dispatcher's decisions under the load bursts of both users, with bounds.
 
 #include "bench_cases.h"
 #include "bench_report.h"
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr double kFullGoodputPercent = 99.0; ///< Percent of a second's requests.
+constexpr double kFullGoodputPercent = 99.0; ///< Minimum attainment of one second at full goodput.
 
 void reportByWorkloadAndPool(BenchReport& _report, const std::string& _name, const BenchResults& _results)
 {
@@ -37,7 +37,7 @@
 	_report.printInfo(_name + ".between_tokens_p95", toMilliseconds(quantile(_results.timesBetweenTokens, 0.95)), "ms");
 }
 
-/// Bounds of one burst.
+/// Bounds of one burst case in percent.
 struct BurstBounds
 {
 	double minAttainment;
@@ -80,7 +80,8 @@
 	}
 }
 
-/// @param[in] _maxRefused Bound for regressions. The target is none.
+/// Checks a case without a burst, with the latency of the least-in-flight baseline as a bound.
+/// @param[in] _maxRefused Maximum refused requests, as a guard against regressions. The target is 0.
 void reportQuiet(BenchReport& _report, const BenchCase& _case, double _maxRefused)
 {
 	const BenchResults results = runBench(_case, DispatcherConfig{});
@@ -93,7 +94,7 @@
 						 99.9);
 }
 
-/// A pool is out for 20 s: retries stay within the budget, and full goodput is back soon.
+/// Checks that retries stay within their budget while a pool fails for 20 s, and that full goodput returns within 5 s.
 void reportOutage(BenchReport& _report)
 {
 	const BenchCase benchCase = makeOutageCase();
@@ -114,7 +115,8 @@
 						5);
 }
 
-/// What it costs that a node uses a part of each pool, and how many links move when one of 520 nodes' engines goes.
+/// Measures the goodput when each node uses a subset of each pool, and the share of links between 520 nodes and their
+/// engines that move when one engine leaves.
 void reportSubsets(BenchReport& _report)
 {
 	for (const std::size_t endpointsPerPool : {std::size_t{9}, std::size_t{18}, std::size_t{36}})
--- a/tools/bench_endpoint.cpp
+++ b/tools/bench_endpoint.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the endpoints in virtual time.
+/// Implementation of the simulated endpoints.
 
 #include "bench_endpoint.h"
 
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr double kEpsilon = 1e-6;
+constexpr double kEpsilon = 1e-6; ///< Remaining work up to this counts as finished.
 constexpr double kMicrosPerSecond = 1e6;
 
 } // namespace
@@ -87,7 +87,7 @@
 		}
 		else if (!isPrefilling)
 		{
-			// One prompt at a time, in the order of arrival.
+			// Prompts are prefilled one at a time, in order of arrival.
 			isPrefilling = true;
 			job.prefillTokensLeft -=
 				this->engine->prefillTokensPerSecond * this->speedFactor * _micros / kMicrosPerSecond;
@@ -222,7 +222,7 @@
 		return std::nullopt;
 	}
 	const double microsPerToken = (this->engine->stepBaseUs + this->engine->stepPerSequenceUs * batch) / batch;
-	// While a prompt is processed decoding goes on more slowly: the part of it that is lost is the prompt's cost.
+	// Prefill slows decoding down; the decoding time lost is the cost of the prompt.
 	const double lostShare = 1 - 1 / this->engine->prefillSlowdown;
 	return prefillSeconds * lostShare + _job.maxTokens * microsPerToken / kMicrosPerSecond;
 }
--- a/tools/bench_endpoint.h
+++ b/tools/bench_endpoint.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Endpoints in virtual time, for measurements of the decisions: an engine that batches continuously, and a plain stage
-/// that runs so many calls at once.
+/// Simulated endpoints in virtual time: an engine with continuous batching, and a plain stage that runs a fixed number
+/// of calls in parallel.
 
 #ifndef ROADFERRY_BENCH_ENDPOINT_H_HEADER_GUARD
 #define ROADFERRY_BENCH_ENDPOINT_H_HEADER_GUARD
@@ -20,69 +20,77 @@
 /// One call on an endpoint.
 struct BenchJob
 {
-	std::size_t node = 0; ///< Entry node that sent it.
+	std::size_t node = 0; ///< Entry node that sent the call.
 	std::uint64_t attempt = 0;
 	std::uint64_t request = 0;
 	double promptTokens = 0;
 	double maxTokens = 0;
 	std::uint64_t prefix = 0;
-	double serviceTimeUs = 0; ///< Of a plain stage: microseconds on an endpoint of usual speed.
-	Micros arrivedAt = 0;
-	Micros firstTokenAt = 0;
+	double serviceTimeUs = 0; ///< Plain stage only: service time in microseconds at normal speed.
+	Micros arrivedAt = 0;     ///< 0 before the call reaches the endpoint.
+	Micros firstTokenAt = 0;  ///< 0 before the first token, and on plain stages.
 	double prefillTokensLeft = 0;
 	double decodeTokensLeft = 0;
 	double serviceTimeLeftUs = 0;
 };
 
-/// How an engine behaves. The slowing of decoding by prefill on the same engine is of the size that table B2 of
-/// "Window 1 Results: B1' + B2 + B3" gives for prompts of some thousand tokens.
+/// Performance model of an engine. The slowdown of decoding by prefill on the same engine matches measurements with
+/// prompts of several thousand tokens.
 struct BenchEngineModel
 {
 	double prefillTokensPerSecond = 20'000;
-	double stepBaseUs = 8'000;      ///< Microseconds of a decoding step with an empty batch.
-	double stepPerSequenceUs = 350; ///< Added by each sequence of the batch.
-	double prefillSlowdown = 1.9;   ///< Of decoding, while a prompt is being processed.
+	double stepBaseUs = 8'000;      ///< Duration of a decoding step with an empty batch.
+	double stepPerSequenceUs = 350; ///< Added to the step by each sequence of the batch.
+	double prefillSlowdown = 1.9;   ///< Factor on the decoding step while a prompt is prefilled.
 	std::size_t maxBatchSize = 24;
-	std::size_t prefixCacheCapacity = 12;
-	double cachedPromptShare = 0.8; ///< Of a prompt whose prefix is in the cache.
+	std::size_t prefixCacheCapacity = 12; ///< Prefixes.
+	double cachedPromptShare = 0.8;       ///< Share of a prompt that needs no prefill when its prefix is cached.
 };
 
-/// An endpoint; either an engine or a plain stage.
+/// A simulated endpoint: an engine, or a plain stage.
 class BenchEndpoint
 {
 public:
+	/// @param[in] _engine Performance model of an engine; std::nullopt for a plain stage.
 	BenchEndpoint(Endpoint _endpoint, std::optional<BenchEngineModel> _engine);
 
-	/// Lets time pass up to a point.
-	/// @returns Jobs that ended on the way.
+	/// Advances the simulation to a point in time.
+	/// @returns Calls that finished by then.
 	std::vector<BenchJob> advance(Micros _now);
 
+	/// Starts a call, or queues it when all slots are in use.
 	void addJob(BenchJob _job, Micros _now);
 
-	/// @returns Time that the job had been held, where it was there.
+	/// Removes a running or queued call.
+	/// @returns The call, or std::nullopt if the endpoint does not have it.
 	std::optional<BenchJob> removeJob(std::size_t _node, std::uint64_t _attempt);
 
-	/// @returns Time of the next change, or nothing when there is none.
+	/// @returns Time at which the next call or prefill finishes, or std::nullopt when no call is running.
 	[[nodiscard]] std::optional<Micros> nextChangeAt() const;
 
 	[[nodiscard]] LoadReport loadReport() const;
 
+	/// Calculates the engine time of a call at best utilization: with its prefix cached, in the largest batch that
+	/// still lets it finish in time.
 	/// @param[in] _timeBudget Time that the call may take.
-	/// @returns Seconds of this endpoint that one such call takes when it is used best: with the largest batch at which
-	/// the call alone, its prefix cached, ends within its time. Nothing where it cannot.
+	/// @returns Seconds of engine time, or std::nullopt if the call cannot finish in time.
 	[[nodiscard]] std::optional<double> minEngineSeconds(const BenchJob& _job, Micros _timeBudget) const;
 
 	Endpoint endpoint;
-	double speedFactor = 1; ///< Below one for a slow endpoint.
-	bool isFailing = false; ///< Cuts every call short.
+	double speedFactor = 1; ///< Below 1 for a slow endpoint.
+	bool isFailing = false; ///< Whether new calls are interrupted.
 	Micros now = 0;
 
 private:
+	/// Reduces the remaining work of all running calls by the given time.
 	void advanceBy(double _micros);
 	[[nodiscard]] double microsToNextChange() const;
+	/// @returns Tokens per microsecond and sequence.
 	[[nodiscard]] double decodeRate() const;
 	void startQueued();
 	void removeFinished(std::vector<BenchJob>& _finished);
+	/// Makes a prefix the most recently used one of the cache.
+	/// @returns Share of the prompt that was already cached.
 	double touchPrefix(std::uint64_t _prefix);
 
 	std::optional<BenchEngineModel> engine;
--- a/tools/bench_report.cpp
+++ b/tools/bench_report.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the lines of figures.
+/// Implementation of the benchmark report.
 
 #include "bench_report.h"
 
--- a/tools/bench_report.h
+++ b/tools/bench_report.h
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Lines of figures with bounds: name, figure, unit, bound and verdict, parted by tabs.
+/// Benchmark results as tab-separated lines: name, value, unit, bound and verdict.
 
 #ifndef ROADFERRY_BENCH_REPORT_H_HEADER_GUARD
 #define ROADFERRY_BENCH_REPORT_H_HEADER_GUARD
@@ -15,14 +15,14 @@
 namespace roadferry
 {
 
-/// Prints figures, and keeps whether any broke its bound.
+/// Prints results and records whether all of them are within their bounds.
 class BenchReport
 {
 public:
 	void checkAtLeast(const std::string& _name, double _value, const char* _unit, double _bound);
 	void checkAtMost(const std::string& _name, double _value, const char* _unit, double _bound);
 
-	/// A figure that depends on the machine, and so has no bound.
+	/// Prints a result without a bound.
 	void printInfo(const std::string& _name, double _value, const char* _unit);
 
 	[[nodiscard]] bool isWithinBounds() const;
@@ -34,22 +34,22 @@
 	bool withinBounds = true;
 };
 
-/// Allocations since the program began; see bench_allocations.cpp.
+/// Allocations since the start of the program; see bench_allocations.cpp.
 struct Allocations
 {
 	std::uint64_t count = 0;
-	std::int64_t liveBytes = 0;
+	std::int64_t liveBytes = 0; ///< Allocated and not yet freed.
 };
 
 Allocations currentAllocations();
 
-/// Figures of the decisions under load.
+/// Reports the dispatcher's decisions under load.
 void reportDecisions(BenchReport& _report);
 
-/// Figures of limits, membership and recovery at 7 to 520 nodes.
+/// Reports limits, membership and recovery at 7 to 520 nodes.
 void reportScale(BenchReport& _report);
 
-/// Slopes that docs/CAPACITY.md is worked out from.
+/// Reports the costs from which docs/CAPACITY.md is derived.
 void reportCapacity(BenchReport& _report);
 
 } // namespace roadferry
--- a/tools/bench_run.cpp
+++ b/tools/bench_run.cpp
@@ -4,7 +4,7 @@
  */
 
 /// @file
-/// Implementation of the measurement in virtual time.
+/// Implementation of the simulation in virtual time.
 
 #include "bench_run.h"
 
@@ -18,16 +18,16 @@
 namespace
 {
 
-constexpr Micros kNetworkDelay = 500; ///< One way between two VMs.
+constexpr Micros kNetworkDelay = 500; ///< One way between two VMs, for calls and their answers.
 constexpr Micros kTickPeriod = 10 * kMillisecond;
 constexpr Micros kReportPeriod = 1 * kSecond;
 constexpr Micros kReportDelay = 1 * kSecond;
 constexpr double kReportLossProbability = 0.1;
 constexpr std::uint32_t kSeed = 20'261'202;
 constexpr double kMicrosPerSecond = 1e6;
-constexpr double kLogNormalSigma = 0.3; ///< Deviation of the logarithm of a plain call's work.
+constexpr double kLogNormalSigma = 0.3; ///< Of the log-normal factor on service times and token counts.
 
-/// A request as the measurement sees it.
+/// A simulated request.
 struct BenchRequest
 {
 	RequestSpec spec;
@@ -35,11 +35,11 @@
 	std::size_t node = 0;
 	Micros arrivedAt = 0;
 	Micros deadline = 0;
-	double heldSeconds = 0; ///< Seconds of endpoints so far.
+	double heldSeconds = 0; ///< Endpoint time used so far.
 	double minEngineSeconds = 0;
 };
 
-/// What happens at a point of time; ties are broken by the order of planning.
+/// An action at a point in time. Events of the same time run in the order in which they were scheduled.
 struct Event
 {
 	Micros at = 0;
@@ -191,7 +191,7 @@
 		request.spec.id = ++this->lastRequest;
 		request.spec.workspace = this->chooseWorkspace();
 		request.spec.pipeline = _workload.name + "." + request.spec.workspace;
-		// A call that would end on the way back to its caller is late.
+		// The deadline of the node leaves time for the network in both directions, since late answers do not count.
 		request.spec.deadline = request.deadline - 2 * kNetworkDelay;
 		const double sizeFactor = std::lognormal_distribution<double>(0, kLogNormalSigma)(this->rng);
 		request.spec.promptTokens = static_cast<std::int64_t>(static_cast<double>(_workload.promptTokens) * sizeFactor);
@@ -331,7 +331,7 @@
 					   });
 	}
 
-	/// Counts the time that a call has held its endpoint: a slot's share of it.
+	/// Records the time for which a call held its endpoint, divided by the endpoint's slots.
 	void recordHeldTime(const std::string& _endpoint, const BenchJob& _job)
 	{
 		const BenchEndpoint& endpoint = this->endpoints.at(_endpoint);
@@ -451,8 +451,9 @@
 		}
 	}
 
-	/// The most engine work that could have been answered: work arrives by seconds and may wait for the longest
-	/// deadline; each second of an engine does one second of work, at its speed then.
+	/// Sums the counters of all nodes and calculates the upper bound of the engine work that can be answered. Work
+	/// arrives in steps of 1 s and is dropped after the longest timeout of an engine workload; each engine does one
+	/// second of work per second, scaled by its speed at that time.
 	void summarize()
 	{
 		Micros maxWaitSeconds = 0;
@@ -521,12 +522,12 @@
 	std::vector<Endpoint> endpointList;
 	std::map<std::string, BenchEndpoint> endpoints;
 	std::map<std::string, double> serviceTimeMs;
-	std::map<std::string, std::uint64_t> changeGenerations;
+	std::map<std::string, std::uint64_t> changeGenerations; ///< By endpoint; invalidates events scheduled earlier.
 	std::vector<std::unique_ptr<Dispatcher>> nodes;
-	std::vector<Event> events; ///< A heap, the earliest first.
+	std::vector<Event> events; ///< Heap with the earliest event on top.
 	std::map<std::uint64_t, BenchRequest> requests;
 	std::map<std::pair<std::size_t, std::uint64_t>, std::string>
-		activeAttempts;                            ///< Endpoint of each attempt under way.
+		activeAttempts;                            ///< Endpoint of each attempt in progress.
 	std::map<Micros, double> offeredEngineSeconds; ///< By second of arrival.
 	std::uint64_t sequence = 0;
 	std::uint64_t lastRequest = 0;
--- a/tools/bench_run.h
+++ b/tools/bench_run.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// One measurement of the decisions in virtual time: entry nodes that each run a dispatcher, endpoints they share, and
-/// a seeded stream of requests. Gives the same figures on every run.
+/// Simulation of a deployment in virtual time: entry nodes that each run a dispatcher, the endpoints they share, and a
+/// seeded stream of requests. Every run gives the same results.
 
 #ifndef ROADFERRY_BENCH_RUN_H_HEADER_GUARD
 #define ROADFERRY_BENCH_RUN_H_HEADER_GUARD
@@ -15,18 +15,18 @@
 namespace roadferry
 {
 
-/// A kind of request.
+/// A workload: requests of one pipeline.
 struct BenchWorkload
 {
 	std::string name;
 	std::vector<std::string> stages;
-	double requestsPerSecond = 0; ///< At the planned load, over all workspaces.
+	double requestsPerSecond = 0; ///< Planned load, summed over all workspaces.
 	Micros timeout = 0;
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
 	bool isUrgent = false;
-	std::int64_t prefixCount = 0; ///< Different prompt prefixes in use, 0 for none shared.
-	bool scalesWithBurst = true;  ///< Whether the burst multiplies it.
+	std::int64_t prefixCount = 0; ///< Number of shared prompt prefixes; 0 for none.
+	bool scalesWithBurst = true;  ///< Whether a burst multiplies its rate.
 };
 
 /// A pool of endpoints.
@@ -39,60 +39,60 @@
 	double serviceTimeMs = 10;
 };
 
-/// What goes wrong, and when.
+/// A fault of some endpoints of a pool during an interval.
 struct BenchFault
 {
 	std::string pool;
-	std::size_t stride = 1; ///< Each so manieth endpoint of the pool.
+	std::size_t stride = 1; ///< Affects every n-th endpoint of the pool.
 	Micros from = 0;
 	Micros to = 0;
 	double speedFactor = 1;
 	bool isFailing = false;
 };
 
-/// A deployment with its load.
+/// A deployment, its load and its faults.
 struct BenchCase
 {
 	std::string name;
 	std::vector<BenchPool> pools;
 	std::vector<BenchWorkload> workloads;
-	std::vector<std::pair<std::string, double>> workspaces; ///< Name and share of the load; its weight is the same.
+	std::vector<std::pair<std::string, double>> workspaces; ///< Name, and share of the load, which is also its weight.
 	std::vector<BenchFault> faults;
 	double burstFactor = 1;
 	Micros burstFrom = 20 * kSecond;
 	Micros burstTo = 60 * kSecond;
 	Micros arrivalsEnd = 90 * kSecond;
 	std::size_t nodeCount = 7;
-	std::size_t maxEndpointsPerPool = 10'000; ///< Most that one node uses.
+	std::size_t maxEndpointsPerPool = 10'000; ///< Maximum that one node uses.
 };
 
-/// Figures of one run.
+/// Results of one run.
 struct BenchResults
 {
 	std::uint64_t offered = 0;
-	std::uint64_t answered = 0; ///< Whole and within the deadline.
-	std::uint64_t refused = 0;  ///< Not run.
+	std::uint64_t answered = 0; ///< Complete and within the deadline.
+	std::uint64_t refused = 0;  ///< Ended with Verdict::NotRun.
 	std::uint64_t attempts = 0;
 	std::uint64_t retries = 0;
 	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkload;  ///< Offered and answered.
 	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkspace; ///< Offered and answered.
-	std::map<std::string, double> endpointSecondsByPool;                        ///< Time that calls held endpoints.
+	std::map<std::string, double> endpointSecondsByPool; ///< Time for which calls held endpoints.
 	double usedEndpointSeconds = 0;
-	double wastedEndpointSeconds = 0; ///< Of it, for requests that missed.
-	double answeredEngineSeconds = 0; ///< Best seconds of engine time of the requests that were answered.
-	double engineSecondsBound = 0;    ///< The most of it that any order could have answered.
+	double wastedEndpointSeconds = 0; ///< Part of usedEndpointSeconds spent on requests that failed or were late.
+	double answeredEngineSeconds = 0; ///< Minimum engine time of the answered requests.
+	double engineSecondsBound = 0;    ///< Upper bound of answeredEngineSeconds for any scheduling order.
 	std::vector<Micros> timesToFirstToken;
 	std::vector<Micros> timesBetweenTokens;
-	std::vector<Micros> latencies;                                      ///< Of answered requests.
-	std::map<Micros, std::pair<std::uint64_t, std::uint64_t>> bySecond; ///< Offered and answered, by arrival.
+	std::vector<Micros> latencies;                                      ///< Latencies of answered requests.
+	std::map<Micros, std::pair<std::uint64_t, std::uint64_t>> bySecond; ///< Offered and answered, by second of arrival.
 };
 
-/// Runs a case under a dispatcher's settings.
+/// Simulates a case with the given dispatcher settings.
 BenchResults runBench(const BenchCase& _case, const DispatcherConfig& _config);
 
 constexpr double kPercent = 100.0;
 
-/// @returns A part of a whole in percent; all where there is nothing.
+/// @returns A part of a whole in percent; 100 if the whole is 0.
 double percent(double _part, double _whole);
 
 /// @param[in] _counts Offered and answered.
@@ -100,7 +100,7 @@
 
 double toMilliseconds(Micros _time);
 
-/// @returns The value below which a share of the values lies.
+/// @returns The value at the given quantile, or 0 without values.
 Micros quantile(std::vector<Micros> _values, double _share);
 
 } // namespace roadferry
--- a/tools/bench_scale.cpp
+++ b/tools/bench_scale.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// Limits, membership and recovery at 7 to 520 nodes, in virtual time with the pure code. Bytes are those of the CBOR
-/// messages.
+/// Benchmarks of limits, membership and recovery at 7 to 520 nodes. The protocol code runs in virtual time without
+/// sockets; bytes are the sizes of the CBOR messages.
 
 #include "bench_report.h"
 #include "membership_world.h"
@@ -23,13 +23,14 @@
 constexpr Micros kObservationTime = 20 * kSecond;
 constexpr double kObservationSeconds = 20;
 constexpr std::size_t kWorkspaces = 1'300;
-constexpr double kMaxControlBytesPerSecond = 10'000; ///< A second and node, from the letter.
+constexpr double kMaxControlBytesPerSecond = 10'000; ///< Budget per node for control traffic.
 
 std::string metricName(const char* _name, std::size_t _nodes)
 {
 	return std::string(_name) + "." + std::to_string(_nodes);
 }
 
+/// @returns Indices of the first nodes, at most as many as exist.
 std::set<std::size_t> firstNodes(std::size_t _nodes, std::size_t _count)
 {
 	std::set<std::size_t> result;
@@ -43,11 +44,13 @@
 	return result;
 }
 
+/// @returns Seconds; ten times the limit if the time is missing, so that the check of the bound fails.
 double toSeconds(const std::optional<Micros>& _time, Micros _limit)
 {
 	return static_cast<double>(_time.value_or(_limit * 10)) / static_cast<double>(kSecond);
 }
 
+/// @returns Bytes of all messages and of the membership updates in them.
 double gossipBytes(std::uint64_t _messages, std::uint64_t _updates)
 {
 	const auto size = [](std::size_t _count)
@@ -69,7 +72,7 @@
 	const auto converged = world.runUntil([&] { return world.agree(all); }, kConvergenceTimeout);
 	_report.checkAtMost(metricName("membership.all_started_at_once", _nodes), toSeconds(converged, kConvergenceTimeout),
 						"s", 60);
-	// With ordinary churn: one table edit each ten seconds at the letter's size, told by every node.
+	// Ordinary churn: one table edit every 10 s, which every node announces.
 	const std::uint64_t messages = world.messagesSent;
 	const std::uint64_t updates = world.updatesSent;
 	for (Micros second = 0; second < kObservationTime / kSecond; ++second)
@@ -103,7 +106,7 @@
 						90);
 }
 
-/// Every node is replaced within a minute, while the others run.
+/// Replaces all nodes one after the other within a minute, while the others run.
 void reportRollingReplacement(BenchReport& _report, std::size_t _nodes)
 {
 	MembershipWorld world(_nodes);
@@ -126,8 +129,8 @@
 						toSeconds(converged, kConvergenceTimeout), "s", 60);
 }
 
-/// Regions cut apart for an hour; here for as long as the two sides need to give each other up, after which nothing
-/// changes any more.
+/// Separates one third of the nodes from the rest and reconnects it. Stands for a partition of an hour: nothing changes
+/// any more once both sides consider each other dead.
 void reportPartition(BenchReport& _report, std::size_t _nodes)
 {
 	MembershipWorld world(_nodes);
@@ -152,7 +155,8 @@
 						"s", 60);
 }
 
-/// One workspace's callers all at one node, and then spread evenly.
+/// Checks the shares of a limit while all demand of a workspace is at one node, after it is spread evenly, and after a
+/// node restart and a partition.
 void reportShares(BenchReport& _report, std::size_t _nodes)
 {
 	const auto limit = static_cast<std::int64_t>(_nodes) * 100;
@@ -171,7 +175,7 @@
 		world.step();
 		maxShare = std::max(maxShare, shareOfLimit(world.sum("hall")));
 	}
-	// A node goes, and a third is cut off.
+	// One node restarts, and one third of the nodes is separated from the rest.
 	world.start(_nodes - 1);
 	for (std::size_t left = 0; left < _nodes / 3; ++left)
 	{
@@ -189,7 +193,7 @@
 	_report.checkAtMost(metricName("shares.most_ever", _nodes), maxShare, "of limit", 1.0);
 }
 
-/// All workspaces in use, a few of them on each node.
+/// Measures the traffic for shares with all workspaces in use, 60 of them on each node.
 void reportShareBytes(BenchReport& _report, std::size_t _nodes)
 {
 	std::map<std::string, std::int64_t> limits;
--- a/tools/roadferry_bench.cpp
+++ b/tools/roadferry_bench.cpp
@@ -4,8 +4,9 @@
  */
 
 /// @file
-/// roadferry-bench: measures the decisions in virtual time, and prints tab-separated lines: name, figure, unit, bound,
-/// verdict. Figures are the same on every run. Exits with 1 when a bound is broken.
+/// roadferry-bench: benchmarks the dispatcher, the control protocols and their memory use, and prints tab-separated
+/// lines: name, value, unit, bound, verdict. Results in virtual time are the same on every run; measured times depend
+/// on the machine. Exits with 1 when a result exceeds its bound.
 
 #include "bench_cases.h"
 #include "bench_report.h"
@@ -15,10 +16,11 @@
 #include <cstdio>
 #include <iostream>
 
-DEFINE_string(part, "", "only decisions, scale or capacity; empty for all");
-DEFINE_uint64(nodes, 7, "entry nodes of the cases that --rounds runs");
-DEFINE_string(only, "", "the one policy that --rounds runs; empty for all");
-DEFINE_bool(rounds, false, "print a table of policies on all cases instead of the product's figures with bounds");
+DEFINE_string(part, "", "part to run: decisions, scale or capacity; empty for all");
+DEFINE_uint64(nodes, 7, "number of entry nodes in the cases of --rounds");
+DEFINE_string(only, "", "the only policy to run with --rounds; empty for all");
+DEFINE_bool(rounds, false,
+			"compare policies on all cases in a table instead of checking the default policy against its bounds");
 
 namespace
 {
@@ -31,7 +33,8 @@
 	DispatcherConfig config;
 };
 
-/// Each round adds one change to the one before it.
+/// @returns Policies to compare. From least_finish on, each policy changes one setting of the one before it; the
+/// margins are variants of the last of these.
 std::vector<Policy> makePolicies()
 {
 	std::vector<Policy> policies;
@@ -102,14 +105,14 @@
 
 int main(int _argc, char** _argv)
 {
-	gflags::SetUsageMessage("measures the decisions in virtual time");
+	gflags::SetUsageMessage("benchmarks the dispatcher, the control protocols and their memory use");
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	if (FLAGS_rounds)
 	{
 		printPolicyTable();
 		return 0;
 	}
-	// A long run shows what it has so far.
+	// Line buffering shows the results of a long run as they come.
 	std::setvbuf(stdout, nullptr, _IOLBF, 0);
 	BenchReport report;
 	if (FLAGS_part.empty() || FLAGS_part == "decisions")
--- a/tools/roadferry_load.cpp
+++ b/tools/roadferry_load.cpp
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// roadferry-load: open-loop load from a file of workloads, with seeded arrivals, and an oracle that compares what
-/// callers were told with the ledgers of the endpoints' stand-ins.
+/// roadferry-load: generates open-loop load from a workload file with seeded arrivals, and checks the outcomes that
+/// callers receive against the ledgers of the endpoint stand-ins.
 
 #include "http_client.h"
 #include "json.h"
@@ -28,14 +28,14 @@
 #include <sstream>
 #include <thread>
 
-DEFINE_string(target, "", "IP:port of the balancer or of a daemon");
-DEFINE_string(workloads, "", "JSON file with a list of workloads");
-DEFINE_string(ledgers, "", "addresses of endpoints' stand-ins whose ledgers the oracle reads, parted by commas");
-DEFINE_double(seconds, 10, "how long requests arrive");
-DEFINE_double(rate, 1, "multiple of all workloads' rates");
-DEFINE_uint64(seed, 1, "seed of the arrivals");
-DEFINE_string(json, "", "file to write the figures to");
-DEFINE_string(compare, "", "two files of figures, parted by a comma, to print side by side instead of running");
+DEFINE_string(target, "", "IP:port of the load balancer or of a daemon");
+DEFINE_string(workloads, "", "JSON file with the workloads");
+DEFINE_string(ledgers, "", "comma-separated addresses of the endpoint stand-ins whose ledgers are checked");
+DEFINE_double(seconds, 10, "seconds during which requests are sent");
+DEFINE_double(rate, 1, "factor on the rates of all workloads");
+DEFINE_uint64(seed, 1, "random seed of the arrival times");
+DEFINE_string(json, "", "JSON file to write the results to");
+DEFINE_string(compare, "", "two comma-separated result files to print one after the other instead of sending load");
 
 namespace
 {
@@ -44,11 +44,10 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
-constexpr std::int64_t kResponseGraceUs =
-	2'000'000; ///< After the deadline, in microseconds, until an answer is given up.
+constexpr std::int64_t kResponseGraceUs = 2'000'000; ///< Time after the deadline until an answer counts as lost.
 constexpr std::size_t kMaxLength = 100;
 
-/// One kind of request, from the file.
+/// One workload of the file.
 struct Workload
 {
 	std::string name;
@@ -57,10 +56,10 @@
 	double requestsPerSecond = 0;
 	std::int64_t deadlineMs = 0;
 	std::int64_t maxTokens = 0;
-	bool atMostOnce = false; ///< May not be repeated: a ticket is fetched first.
+	bool atMostOnce = false; ///< Must not run twice: a ticket is fetched first.
 };
 
-/// One request under way or ended.
+/// A request in progress or ended.
 struct Request
 {
 	const Workload* workload = nullptr;
@@ -68,18 +67,18 @@
 	std::string body;
 	Clock::time_point sentAt;
 	double elapsedMs = 0;
-	std::string outcome; ///< answered, not_run, unknown, or lost when no answer came.
+	std::string outcome; ///< Outcome in the answer, or no_ticket, lost (no answer) or error (no outcome in the answer).
 	bool isIntact = false;
 };
 
-/// Figures of one workload.
+/// Statistics of one workload.
 struct WorkloadStats
 {
 	std::map<std::string, int> outcomes;
 	int answeredInTime = 0;
 	int offered = 0;
-	std::vector<double> elapsedMs;               ///< Of answered requests.
-	std::map<std::string, double> heldMsByStage; ///< By stage.
+	std::vector<double> elapsedMs; ///< Latencies of answered requests.
+	std::map<std::string, double> heldMsByStage;
 };
 
 absl::StatusOr<std::vector<Workload>> readWorkloads(const std::string& _file)
@@ -126,7 +125,7 @@
 		this->pool.stop();
 	}
 
-	/// Sends at the planned times, whatever the answers do.
+	/// Sends all requests at their scheduled times, regardless of answers, and waits until all have ended.
 	void run()
 	{
 		const auto begin = Clock::now();
@@ -139,7 +138,9 @@
 		this->changed.wait(guard, [this] { return this->endedCount == this->requests.size(); });
 	}
 
-	/// @returns Breaches of what must always hold, in words.
+	/// Checks that answers are intact, that requests reported as not run did not run, and that no at-most-once request
+	/// ran twice.
+	/// @returns One message per breach.
 	std::vector<std::string> findBreaches()
 	{
 		std::vector<std::string> breaches;
@@ -150,15 +151,15 @@
 			const int count = found == effects.end() ? 0 : found->second;
 			if (request->outcome == "answered" && !request->isIntact)
 			{
-				breaches.push_back(request->marker + ": answer not whole or not its own");
+				breaches.push_back(request->marker + ": answer incomplete or of another request");
 			}
 			if (request->outcome == "not_run" && count > 0)
 			{
-				breaches.push_back(request->marker + ": told not run, and ran");
+				breaches.push_back(request->marker + ": reported as not run, but ran");
 			}
 			if (request->workload->atMostOnce && count > 1)
 			{
-				breaches.push_back(absl::StrCat(request->marker, ": ran ", count, " times"));
+				breaches.push_back(absl::StrCat(request->marker, ": at-most-once request ran ", count, " times"));
 			}
 		}
 		return breaches;
@@ -284,7 +285,7 @@
 		this->changed.notify_all();
 	}
 
-	/// The stand-ins answer with the marker of the input: all tokens of an engine carry it, and their position.
+	/// Stand-ins answer with the marker of the input; every token of an engine consists of the marker and its position.
 	static bool isIntactAnswer(const Request& _request, const QJsonObject& _answer)
 	{
 		if (_request.workload->maxTokens == 0)
@@ -299,7 +300,7 @@
 		return _answer["text"].toString().toStdString() == expected;
 	}
 
-	/// @returns Most effects of each marker on any one stage: a request passes each of its stages once.
+	/// @returns Executions of each request by marker: the maximum over its stages, as a request runs each stage once.
 	std::map<std::string, int> countEffects()
 	{
 		std::map<std::pair<std::string, std::string>, int> byStage;
@@ -443,7 +444,7 @@
 
 int main(int _argc, char** _argv)
 {
-	gflags::SetUsageMessage("open-loop load with an oracle");
+	gflags::SetUsageMessage("generates open-loop load and checks the outcomes of all requests");
 	gflags::ParseCommandLineFlags(&_argc, &_argv, true);
 	if (!FLAGS_compare.empty())
 	{
