--- a/tools/bench_run.h
+++ b/tools/bench_run.h
@@ -4,8 +4,8 @@
  */
 
 /// @file
-/// One measurement of the decisions in virtual time: entry nodes that each run a dispatcher, endpoints they share, and
-/// a seeded stream of requests. Gives the same figures on every run.
+/// Simulation of a deployment in virtual time: entry nodes that each run a dispatcher, the endpoints they share, and a
+/// seeded stream of requests. Every run gives the same results.
 
 #ifndef ROADFERRY_BENCH_RUN_H_HEADER_GUARD
 #define ROADFERRY_BENCH_RUN_H_HEADER_GUARD
@@ -15,18 +15,18 @@
 namespace roadferry
 {
 
-/// A kind of request.
-struct BenchKind
+/// A workload: requests of one pipeline.
+struct BenchWorkload
 {
 	std::string name;
 	std::vector<std::string> stages;
-	double perSecond = 0; ///< At the planned load, over all workspaces.
-	Micros deadline = 0;
+	double requestsPerSecond = 0; ///< Planned load, summed over all workspaces.
+	Micros timeout = 0;
 	std::int64_t promptTokens = 0;
 	std::int64_t maxTokens = 0;
-	bool urgent = false;
-	std::int64_t prefixes = 0; ///< Different prompt prefixes in use, 0 for none shared.
-	bool bursts = true;        ///< Whether the burst multiplies it.
+	bool isUrgent = false;
+	std::int64_t prefixCount = 0; ///< Number of shared prompt prefixes; 0 for none.
+	bool scalesWithBurst = true;  ///< Whether a burst multiplies its rate.
 };
 
 /// A pool of endpoints.
@@ -34,74 +34,74 @@
 {
 	std::string name;
 	StageKind kind = StageKind::Service;
-	std::int64_t count = 0;
+	std::int64_t endpointCount = 0;
 	std::int64_t slots = 8;
-	double workMs = 10;
+	double serviceTimeMs = 10;
 };
 
-/// What goes wrong, and when.
+/// A fault of some endpoints of a pool during an interval.
 struct BenchFault
 {
 	std::string pool;
-	std::size_t every = 1; ///< Each so manieth endpoint of the pool.
+	std::size_t stride = 1; ///< Affects every n-th endpoint of the pool.
 	Micros from = 0;
 	Micros to = 0;
-	double speed = 1;
-	bool failing = false;
+	double speedFactor = 1;
+	bool isFailing = false;
 };
 
-/// A deployment with its load.
+/// A deployment, its load and its faults.
 struct BenchCase
 {
 	std::string name;
 	std::vector<BenchPool> pools;
-	std::vector<BenchKind> kinds;
-	std::vector<std::pair<std::string, double>> workspaces; ///< Name and share of the load; its weight is the same.
+	std::vector<BenchWorkload> workloads;
+	std::vector<std::pair<std::string, double>> workspaces; ///< Name, and share of the load, which is also its weight.
 	std::vector<BenchFault> faults;
-	double burst = 1;
+	double burstFactor = 1;
 	Micros burstFrom = 20 * kSecond;
 	Micros burstTo = 60 * kSecond;
-	Micros end = 90 * kSecond;
-	std::size_t nodes = 7;
-	std::size_t endpointsPerPool = 10'000; ///< Most that one node uses.
+	Micros arrivalsEnd = 90 * kSecond;
+	std::size_t nodeCount = 7;
+	std::size_t maxEndpointsPerPool = 10'000; ///< Maximum that one node uses.
 };
 
-/// Figures of one run.
-struct BenchFigures
+/// Results of one run.
+struct BenchResults
 {
 	std::uint64_t offered = 0;
-	std::uint64_t answered = 0; ///< Whole and within the deadline.
-	std::uint64_t refused = 0;  ///< Not run.
+	std::uint64_t answered = 0; ///< Complete and within the deadline.
+	std::uint64_t refused = 0;  ///< Ended with Verdict::NotRun.
 	std::uint64_t attempts = 0;
 	std::uint64_t retries = 0;
-	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byKind;      ///< Offered and answered.
+	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkload;  ///< Offered and answered.
 	std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> byWorkspace; ///< Offered and answered.
-	std::map<std::string, double> secondsByPool;                                ///< Time that calls held endpoints.
-	double usedSeconds = 0;
-	double wastedSeconds = 0; ///< Of it, for requests that missed.
-	double answeredWork = 0;  ///< Best seconds of engine time of the requests that were answered.
-	double boundWork = 0;     ///< The most of it that any order could have answered.
-	std::vector<Micros> firstToken;
-	std::vector<Micros> betweenTokens;
-	std::vector<Micros> elapsed;                                        ///< Of answered requests.
-	std::map<Micros, std::pair<std::uint64_t, std::uint64_t>> bySecond; ///< Offered and answered, by arrival.
+	std::map<std::string, double> endpointSecondsByPool; ///< Time for which calls held endpoints.
+	double usedEndpointSeconds = 0;
+	double wastedEndpointSeconds = 0; ///< Part of usedEndpointSeconds spent on requests that failed or were late.
+	double answeredEngineSeconds = 0; ///< Minimum engine time of the answered requests.
+	double engineSecondsBound = 0;    ///< Upper bound of answeredEngineSeconds for any scheduling order.
+	std::vector<Micros> timesToFirstToken;
+	std::vector<Micros> timesBetweenTokens;
+	std::vector<Micros> latencies;                                      ///< Latencies of answered requests.
+	std::map<Micros, std::pair<std::uint64_t, std::uint64_t>> bySecond; ///< Offered and answered, by second of arrival.
 };
 
-/// Runs a case under a dispatcher's settings.
-BenchFigures runBench(const BenchCase& _case, const DispatcherConfig& _config);
+/// Simulates a case with the given dispatcher settings.
+BenchResults runBench(const BenchCase& _case, const DispatcherConfig& _config);
 
 constexpr double kPercent = 100.0;
 
-/// @returns A part of a whole in percent; all where there is nothing.
+/// @returns A part of a whole in percent; 100 if the whole is 0.
 double percent(double _part, double _whole);
 
 /// @param[in] _counts Offered and answered.
-double attainment(const std::pair<std::uint64_t, std::uint64_t>& _counts);
+double attainmentPercent(const std::pair<std::uint64_t, std::uint64_t>& _counts);
 
-double milliseconds(Micros _time);
+double toMilliseconds(Micros _time);
 
-/// @returns The value below which a share of the values lies.
-Micros quantileOf(std::vector<Micros> _values, double _share);
+/// @returns The value at the given quantile, or 0 without values.
+Micros quantile(std::vector<Micros> _values, double _share);
 
 } // namespace roadferry
 
